--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -7,54 +7,56 @@
 	"github.com/sparshore/sparshore/internal/fleet"
 )
 
-// Admit chooses the engine for a new generation among those with room for it; the error
-// tells why there is none. Engines that are avoided or had a fault lately are only used
-// when all are. usable is the memory of each that may be filled with what has to move if it
-// leaves.
+// Admit chooses an engine with room for a new generation; if there is none, the error tells
+// why. Engines that are avoided or had a recent fault are used only if all engines of the list
+// are. usable is the memory of each engine, in tokens, that may be filled with generations that
+// have to move if the engine leaves.
 func (v *View) Admit(list []Candidate, g *Generation, usable float64) (fleet.Upstream, error) {
-	sound := slices.ContainsFunc(list, func(c Candidate) bool { return v.sound(&c, g.Repeats) })
-	why := ErrNone
-	unit := float64(g.need()) + prefillWeight*float64(g.Prompt)
-	u, ok := v.spread(list, unit, func(c *Candidate) (float64, bool) {
-		if sound && !v.sound(c, g.Repeats) {
+	anyHealthy := slices.ContainsFunc(list, func(c Candidate) bool { return v.healthy(&c, g.Repeats) })
+	reason := ErrNone
+	costPerRequest := float64(g.totalTokens()) + prefillWeight*float64(g.Prompt)
+	u, ok := v.spread(list, costPerRequest, func(c *Candidate) (float64, bool) {
+		if anyHealthy && !v.healthy(c, g.Repeats) {
 			return 0, false
 		}
 		if err := Room(c.Load, g, c.Kept, usable, v.ReadToken); err != nil {
-			why = err
+			reason = err
 			return 0, false
 		}
 		return v.engineCost(c, g) - prefillWeight*float64(c.Kept), true
 	})
 	if !ok {
-		return fleet.Upstream{}, why
+		return fleet.Upstream{}, reason
 	}
 	return u, nil
 }
 
-// sound reports whether an engine may get a generation. Those that may be repeated find
-// out whether an engine that had a fault is well.
-func (v *View) sound(c *Candidate, repeats bool) bool {
+// healthy reports whether an engine may get a generation: it is not avoided and had no recent
+// fault. Generations that may be repeated are also sent to an engine that had a fault, to probe
+// whether it has recovered.
+func (v *View) healthy(c *Candidate, repeats bool) bool {
 	return !v.Now.Before(c.AvoidUntil()) && (repeats || !c.Suspect(v.Now))
 }
 
-// Plain chooses the upstream of a plain service; ok is false if there is none.
+// Plain chooses the upstream for a request to a plain service; ok is false if there is none.
 func (v *View) Plain(list []Candidate) (u fleet.Upstream, ok bool) {
 	return v.spread(list, requestCost, func(c *Candidate) (float64, bool) { return v.plainCost(c), true })
 }
 
-// Anyhow chooses the engine for the rest of an answer for which a caller waits: a crowded
-// engine is better than none. ok is false if there is none at all.
+// Anyhow chooses the cheapest engine for the rest of an answer that a caller is waiting for,
+// whether or not it has room: a crowded engine is better than none. ok is false if there is no
+// engine at all.
 func (v *View) Anyhow(list []Candidate, g *Generation) (u fleet.Upstream, ok bool) {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for i := range list {
 		c := &list[i]
 		cost := v.engineCost(c, g)
 		if !g.Repeats && c.Suspect(v.Now) {
 			cost += avoidedCost
 		}
-		if cost < least {
-			u, least = c.Upstream, cost
+		if cost < lowest {
+			u, lowest = c.Upstream, cost
 		}
 	}
-	return u, !math.IsInf(least, 1)
+	return u, !math.IsInf(lowest, 1)
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -1,52 +1,56 @@
 package placement
 
-// The weights by which an upstream is chosen. They are in parts of a request
-// slot for plain services and in tokens of KV memory for engines.
+// The weights of the costs by which upstreams are compared. For plain services the unit is one
+// request at an upstream with referenceSlots slots; for engines it is one token of KV memory.
 const (
-	// failureCost makes an upstream that fails half of its requests look as
-	// loaded as one with two more requests.
+	// failureCost makes an upstream that fails half of its requests as costly as one with two
+	// more requests.
 	failureCost = 4.0
-	// otherZoneCost keeps calls in the zone unless another one has a request less:
-	// a call between zones meets links that lose packets, and a packet sent again
-	// comes some 200 ms later.
+	// otherZoneCost keeps requests in the zone of the entry unless an upstream of another zone
+	// has one request less: links between zones lose packets, and a lost packet is
+	// retransmitted some 200 ms later.
 	otherZoneCost = 1.0
-	// failingCost puts upstreams that fail many requests behind all that do not, but
-	// before those whose connections broke.
+	// failingCost ranks upstreams that fail many requests behind those that do not, but ahead
+	// of those that are avoided because their connections broke.
 	failingCost = 1e5
-	// trialCost and engineTrialTokens keep requests from an upstream that runs one under which
-	// another upstream ended, unless the others have about one request more: it may end as well.
+	// trialCost and engineTrialTokens keep requests away from an upstream that is running a
+	// suspect request, unless the others have about one request more: the suspect may crash
+	// this upstream as well.
 	trialCost         = 2.0
 	engineTrialTokens = 4000.0
-	// tieNoise keeps entries that see the same load from all choosing the same.
+	// tieNoise keeps entries that see the same load from all choosing the same upstream.
 	tieNoise = 0.2
-	// avoidedCost puts upstreams that are avoided behind all others.
+	// avoidedCost ranks avoided upstreams behind all others.
 	avoidedCost = 1e6
-	// slotsUnit is the number of slots at which one more request costs requestCost.
-	slotsUnit = 6
-	// requestCost is the cost of one more request at such an upstream.
+	// referenceSlots is the number of slots of an upstream at which one more request costs
+	// requestCost.
+	referenceSlots = 6
+	// requestCost is the cost of one more request at an upstream with referenceSlots slots.
 	requestCost = 1.0
 
-	// engineFailureTokens, engineColdTokens and engineNoiseTokens do the same for
-	// engines; a usual generation takes some 4,000 tokens of memory.
+	// engineFailureTokens, engineColdTokens and engineNoiseTokens are the costs of failures, of
+	// a cold start and of the noise against ties for engines. A typical generation takes about
+	// 4,000 tokens of memory.
 	engineFailureTokens = 30000.0
 	engineColdTokens    = 6000.0
 	engineNoiseTokens   = 400.0
-	// engineZoneTokens keeps generations in the zone unless an engine of another one
-	// has about one generation less: packets that links between zones lose pause a
-	// stream for longer than its caller allows.
+	// engineZoneTokens keeps generations in the zone of the entry unless an engine of another
+	// zone has about one generation less: packets lost on links between zones stall a stream
+	// for longer than its caller allows.
 	engineZoneTokens = 3000.0
-	// prefillWeight is what an unread prompt token counts beside a stored one:
-	// it delays the first token of whatever comes after, and four prompts in a
-	// row use up the objective.
+	// prefillWeight is the weight of a prompt token that is not prefilled yet, relative to a
+	// stored token: it delays the first token of each later generation, and four prompts in a
+	// row use up the time that a generation has to begin.
 	prefillWeight = 4.0
-	// overflowWeight is what a token beyond the memory counts: it preempts.
+	// overflowWeight is the weight of a token beyond the memory: the engine has to preempt a
+	// stream for it.
 	overflowWeight = 20.0
 )
 
-// plainCost compares upstreams of a plain service, in parts of a request slot: the
-// less, the better.
+// plainCost returns the cost of sending a request to an upstream of a plain service, in the
+// unit of requestCost; lower is better.
 func (v *View) plainCost(c *Candidate) float64 {
-	cost := float64(c.Load.Running)/float64(max(c.Slots, 1))*float64(slotsUnit) + failureCost*c.FailureRate()
+	cost := float64(c.Load.Running)/float64(max(c.Slots, 1))*float64(referenceSlots) + failureCost*c.FailureRate()
 	if c.Failing {
 		cost += failingCost
 	}
@@ -62,12 +66,12 @@
 	return cost + tieNoise*v.Random()
 }
 
-// engineCost compares engines, in tokens of KV memory: the less, the better for
-// a generation.
+// engineCost returns the cost of placing a generation on an engine, in tokens of KV memory;
+// lower is better.
 func (v *View) engineCost(c *Candidate, g *Generation) float64 {
-	cost := float64(c.Load.Tokens) + prefillWeight*v.unread(c) + engineFailureTokens*c.FailureRate()
-	if over := float64(c.Load.Tokens + g.need() - g.Engine.MemoryTokens); over > 0 {
-		cost += overflowWeight * over
+	cost := float64(c.Load.Tokens) + prefillWeight*v.remainingPrefill(c) + engineFailureTokens*c.FailureRate()
+	if overflow := float64(c.Load.Tokens + g.totalTokens() - g.Engine.MemoryTokens); overflow > 0 {
+		cost += overflowWeight * overflow
 	}
 	if c.Load.Running >= g.Engine.Slots {
 		cost += float64(g.Engine.MemoryTokens)
@@ -87,10 +91,11 @@
 	return cost + engineNoiseTokens*v.Random()
 }
 
-// unread is the number of prompt tokens that an engine still has to read: while the news
-// of its load was on the way it read on. What that brings does not show in the model of
-// TestOldNewsDoesNotCrowdEngines: 26 of 7,600 late with news of 350 ms, 22 without.
-func (v *View) unread(c *Candidate) float64 {
-	meanwhile := float64(v.Delay(c.Zone)) / float64(max(v.ReadToken, 1))
-	return max(float64(c.Load.Prefill)-meanwhile, 0)
+// remainingPrefill estimates the number of prompt tokens that an engine still has to prefill: it
+// went on prefilling while the report of its load was on the way. The correction makes no
+// visible difference in the model of 144 engines in the tests of internal/gateway: with reports
+// 350 ms old, 26 of 7,600 generations begin late with it and 22 without.
+func (v *View) remainingPrefill(c *Candidate) float64 {
+	readSince := float64(v.Delay(c.Zone)) / float64(max(v.ReadToken, 1))
+	return max(float64(c.Load.Prefill)-readSince, 0)
 }
--- a/internal/placement/decaying.go
+++ b/internal/placement/decaying.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Decaying is a count that falls to a fraction of 1/e within a time.
+// Decaying is a count of events that decays exponentially.
 type Decaying struct {
 	count float64
 	at    time.Time
 }
 
-// Value is the count at a later moment.
-func (d Decaying) Value(now time.Time, within time.Duration) float64 {
-	return d.count * math.Exp(-now.Sub(d.at).Seconds()/within.Seconds())
+// Value returns the count at a later time; decayTime is the time in which it falls to 1/e.
+func (d Decaying) Value(now time.Time, decayTime time.Duration) float64 {
+	return d.count * math.Exp(-now.Sub(d.at).Seconds()/decayTime.Seconds())
 }
 
-// Add returns the count with n more.
-func (d Decaying) Add(n float64, now time.Time, within time.Duration) Decaying {
-	return Decaying{count: d.Value(now, within) + n, at: now}
+// Add returns the count at the time now, with n more events.
+func (d Decaying) Add(n float64, now time.Time, decayTime time.Duration) Decaying {
+	return Decaying{count: d.Value(now, decayTime) + n, at: now}
 }
 
-// shareOf is the part of the second of two counts in both. One more of the first kind is
-// assumed, so that a single event of long ago says nothing.
-func shareOf(others, counted Decaying, now time.Time, within time.Duration) float64 {
-	n := counted.Value(now, within)
-	return n / (n + others.Value(now, within) + 1)
+// shareOf returns counted as a part of both counts together. One more event is assumed in
+// others, so that a single old event has little effect.
+func shareOf(others, counted Decaying, now time.Time, decayTime time.Duration) float64 {
+	n := counted.Value(now, decayTime)
+	return n / (n + others.Value(now, decayTime) + 1)
 }
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -6,58 +6,63 @@
 )
 
 const (
-	// overloadEnds is the time without a refusal after which an overload is over:
-	// longer than the pauses between refusals of one entry while half as much again
-	// is asked as the engines can do.
-	overloadEnds = 2 * time.Second
-	// refusalsRemembered is the time over which refused and admitted generations count:
-	// some ten of one entry, on a deployment of 22 entries that get 55 a second.
-	refusalsRemembered = 4 * time.Second
-	// backSoon is the part of the objective after which a caller is told to come back
-	// while nearly all are admitted: three quarters are left to read the prompt.
-	backSoon = 0.25
-	// BackLeast is the least time to come back, about the time in which a few of some
-	// hundred streams end.
+	// overloadQuietTime is the time without a refusal after which an overload is over. It is
+	// longer than the pauses between refusals of one entry while the demand is one and a half
+	// times what the engines can serve.
+	overloadQuietTime = 2 * time.Second
+	// refusalDecayTime is the time constant of the counts of refused and admitted generations.
+	// It covers about ten generations of one entry in a deployment of 22 entries that get 55 a
+	// second.
+	refusalDecayTime = 4 * time.Second
+	// minRetryAfterShare is the part of the objective after which a caller is told to retry while
+	// nearly all generations are admitted: three quarters are left to prefill the prompt.
+	minRetryAfterShare = 0.25
+	// BackLeast is the shortest time after which a caller is told to retry: about the time in
+	// which a few of some hundred streams end.
 	BackLeast = 250 * time.Millisecond
-	// ageOfShare is how much of the overload's age a caller waits for each part of the
-	// generations that is refused.
-	ageOfShare = 1.5
-	// BackSpread is the part by which the times told are spread to both sides, so
-	// that callers refused together do not come back together.
+	// ageFactor, multiplied by the refused share of generations, is the part of the age of the
+	// overload that a caller is told to wait, up to the whole age.
+	ageFactor = 1.5
+	// BackSpread is the jitter of the times told, as a fraction in both directions, so that
+	// callers refused together do not retry together.
 	BackSpread = 0.25
 )
 
-// Overload knows since when a service has had to refuse generations, and how many.
+// Overload tracks since when a service has been refusing generations, and how many of them.
 type Overload struct {
 	mu sync.Mutex
-	// since and last are the first and the latest refusal of the overload.
-	since, last time.Time
-	// refusals and admissions are those of late.
+	// firstRefusal and lastRefusal are the times of the first and the latest refusal of the
+	// overload.
+	firstRefusal, lastRefusal time.Time
+	// refusals and admissions decay by refusalDecayTime.
 	refusals, admissions Decaying
 }
 
-// Admitted notes that a generation found room.
+// Admitted records that a generation was admitted.
 func (o *Overload) Admitted(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.admissions = o.admissions.Add(1, now, refusalsRemembered)
+	o.admissions = o.admissions.Add(1, now, refusalDecayTime)
 }
 
-// Refused notes a refusal and returns the time after which the caller should come
-// back; objective is the time in which its route wants generations to begin. While few are refused the next try very likely finds
-// room, and in time. How long an overload lasts is not known; one that has lasted for a
-// time can be expected to last as long again, so the more are refused the larger a part of
-// its age a caller waits. Callers have one or two tries.
+// Refused records a refusal and returns the time after which the caller should retry. objective
+// is the time in which the route of the caller wants generations to begin. random, in [0, 1),
+// sets the jitter.
+//
+// While few generations are refused, that time is short: the retry very likely finds room and
+// still begins in time. The end of an overload is not known, but one that has lasted for a time
+// can be expected to last as long again. So the more generations are refused, the larger the
+// part of the age of the overload that a caller waits. Callers make one or two attempts.
 func (o *Overload) Refused(objective time.Duration, now time.Time, random float64) time.Duration {
-	soon := max(time.Duration(backSoon*float64(objective)), BackLeast)
+	minRetryAfter := max(time.Duration(minRetryAfterShare*float64(objective)), BackLeast)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.since.IsZero() || now.Sub(o.last) > overloadEnds {
-		o.since = now
+	if o.firstRefusal.IsZero() || now.Sub(o.lastRefusal) > overloadQuietTime {
+		o.firstRefusal = now
 	}
-	o.last = now
-	o.refusals = o.refusals.Add(1, now, refusalsRemembered)
-	share := shareOf(o.admissions, o.refusals, now, refusalsRemembered)
-	back := max(time.Duration(min(ageOfShare*share, 1)*float64(now.Sub(o.since))), soon)
-	return time.Duration(float64(back) * (1 - BackSpread + 2*BackSpread*random))
+	o.lastRefusal = now
+	o.refusals = o.refusals.Add(1, now, refusalDecayTime)
+	share := shareOf(o.admissions, o.refusals, now, refusalDecayTime)
+	retryAfter := max(time.Duration(min(ageFactor*share, 1)*float64(now.Sub(o.firstRefusal))), minRetryAfter)
+	return time.Duration(float64(retryAfter) * (1 - BackSpread + 2*BackSpread*random))
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,9 +1,9 @@
-// Package placement decides which upstream takes a request: whether an engine has room for
-// a generation, which of those with room gets it, where one that has to move goes on, how
-// much memory is kept for such moves, and when a caller that found no room comes back. It
-// has no clock, network or locks on others' state: what is known comes in, a verdict with
-// its reason goes out. internal/gateway keeps the state and carries verdicts out;
-// internal/placement/replay plays loads against it.
+// Package placement decides which upstream takes a request: whether an engine has room for a
+// generation, which engine with room gets it, where a generation that has to move continues,
+// how much memory is reserved for such moves, and when a refused caller should retry. It has no
+// clock and no network, and it locks only its own state: callers pass in what they know and
+// receive a decision with its reason. internal/gateway keeps the state and carries out the
+// decisions; internal/placement/replay simulates loads against them.
 package placement
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// The reasons for which no upstream takes a request.
+// The reasons why no upstream takes a request.
 var (
 	ErrNone     = errors.New("no engine serves")
 	ErrTooLarge = errors.New("the prompt is larger than the memory of any engine")
@@ -24,51 +24,53 @@
 	ErrPrompts  = errors.New("too many prompts wait to be read")
 )
 
-// Candidate is an upstream and what is known of its load.
+// Candidate is an upstream with its known load.
 type Candidate struct {
 	fleet.Upstream
-	// Load is what all entries have in flight there.
+	// Load is the sum of what all entries have in flight at the upstream.
 	Load gossip.Load
-	// Rate is the number of requests a second that other entries lately placed there.
+	// Rate is the number of requests a second that other entries recently placed there.
 	Rate float64
-	// Kept is the part of the prompt that the engine keeps already, in tokens.
+	// Kept is the part of the prompt that the engine has in its prefix cache, in tokens.
 	Kept int
-	// Trial marks an upstream that runs a request under which another one ended.
+	// Trial marks an upstream that is running a suspect request: another upstream crashed while
+	// running it.
 	Trial bool
-	// Failing marks a plain upstream that fails many requests.
+	// Failing marks an upstream of a plain service that fails many requests.
 	Failing bool
 }
 
-// View is from where and when a decision is made.
+// View is the context of a decision: the zone of the entry, the time and the age of its load
+// reports.
 type View struct {
 	// Zone is the entry's availability zone.
 	Zone string
 	Now  time.Time
-	// Delay is how long after an entry of a zone placed a request this one is expected
-	// to hear of it.
+	// Delay returns the expected time until this entry learns that an entry of a zone placed a
+	// request.
 	Delay func(zone string) time.Duration
-	// ReadToken is the time in which an engine reads a prompt token.
+	// ReadToken is the time in which an engine prefills one prompt token.
 	ReadToken time.Duration
-	// Random returns a number from 0 up to 1.
+	// Random returns a number in [0, 1).
 	Random func() float64
 }
 
-// Generation is what a generation asks of an engine.
+// Generation describes what a generation needs from an engine.
 type Generation struct {
-	// Engine describes the service's engines.
+	// Engine describes the engines of the service.
 	Engine *routetable.Engine
-	// Prompt is the size of the prompt, and Output the expected length of the answer,
-	// in tokens.
+	// Prompt is the size of the prompt and Output the expected length of the answer, in tokens.
 	Prompt int
 	Output int
-	// StartBy is the time left until the generation should begin; 0 for no bound.
+	// StartBy is the time left until the generation should begin; 0 means no limit.
 	StartBy time.Duration
-	// Brief marks a generation that ends within the notice of an engine that leaves.
+	// Brief marks a generation that is expected to end within the notice that an engine gets
+	// before it leaves.
 	Brief bool
-	// Repeats marks one that may be sent again: it finds out whether an engine that had a
-	// fault is well.
+	// Repeats marks a generation that may be sent again after a failure. Such generations probe
+	// whether an engine that had a fault has recovered.
 	Repeats bool
 }
 
-// need is the memory in tokens that the generation takes in the end.
-func (g *Generation) need() int { return g.Prompt + g.Output }
+// totalTokens returns the memory that the generation takes by its end, in tokens.
+func (g *Generation) totalTokens() int { return g.Prompt + g.Output }
--- a/internal/placement/reserve_test.go
+++ b/internal/placement/reserve_test.go
@@ -8,31 +8,34 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// TestReserve: memory is kept free for engines that leave as far as moves lacked room
-// lately. The load pattern is a sixth of the engines leaving every 3.3 s.
-func TestReserve(t *testing.T) {
+// TestReserveGrowsWithFailedMoves checks that memory is reserved in proportion to the moves
+// that recently lacked room: without a reserve the next wave of leaving engines lacks room
+// again, and a reserve that is not needed wastes memory. A sixth of the engines leaves every
+// 3.3 s.
+func TestReserveGrowsWithFailedMoves(t *testing.T) {
 	const share, wave, memory = 1.0 / 6, 3300 * time.Millisecond, 20000
 	engine := &routetable.Engine{MemoryTokens: memory}
 	for _, tc := range []struct {
 		name string
-		// lacking of every ten moves of a wave find no room, for some waves.
-		lacking, waves int
-		// later is the time from the last wave until the reserve is asked for.
+		// failed is how many of every ten moves of a wave find no room, and waves the number of
+		// waves.
+		failed, waves int
+		// later is the time from the last wave until the reserve is read.
 		later    time.Duration
 		min, max float64
 	}{
-		{"nothing has moved", 0, 0, 0, 0, 0},
-		{"all find room", 0, 5, 0, 0, 0},
-		{"half find none", 5, 5, 0, share * 0.4, share * 0.5},
-		{"none finds room", 10, 5, 0, share * 0.9, share},
-		{"waves that are long over", 5, 5, time.Minute, 0, 0.01},
+		{"no moves yet", 0, 0, 0, 0, 0},
+		{"all moves find room", 0, 5, 0, 0, 0},
+		{"half of the moves lack room", 5, 5, 0, share * 0.4, share * 0.5},
+		{"all moves lack room", 10, 5, 0, share * 0.9, share},
+		{"waves a minute ago", 5, 5, time.Minute, 0, 0.01},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m, now := &MoveRoom{}, time.Now()
 			for range tc.waves {
 				now = now.Add(wave)
 				for i := range 10 {
-					m.Note(i >= tc.lacking, now)
+					m.Note(i >= tc.failed, now)
 				}
 			}
 			got := 1 - m.Usable(engine, share, now.Add(tc.later))/memory
@@ -43,8 +46,9 @@
 	}
 }
 
-// TestReserveFollowsMoves: once moves find room again, the kept part falls.
-func TestReserveFollowsMoves(t *testing.T) {
+// TestReserveShrinksAfterSuccessfulMoves checks that the reserve falls once moves find room
+// again.
+func TestReserveShrinksAfterSuccessfulMoves(t *testing.T) {
 	m, now := &MoveRoom{}, time.Now()
 	m.Note(false, now)
 	engine := &routetable.Engine{MemoryTokens: 1000}
@@ -57,9 +61,10 @@
 	}
 }
 
-// TestUsableMemoryCanBeMoved: while engines leave, no more is filled than can be copied
-// within their notice.
-func TestUsableMemoryCanBeMoved(t *testing.T) {
+// TestUsableMemoryCanBeCopiedInTime checks that, while engines leave, no engine is filled with
+// more than it can copy within its notice: the rest of its generations would be lost when it
+// ends.
+func TestUsableMemoryCanBeCopiedInTime(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		copyRate     float64
@@ -69,7 +74,7 @@
 		{"slow copies", 18000, 0.2, 18000 * MoveWithin.Seconds()},
 		{"fast copies", 180000, 0.2, 34000},
 		{"no engine leaves", 18000, 0, 34000},
-		{"the rate is not stated", 0, 0.2, 34000},
+		{"unknown copy rate", 0, 0.2, 34000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := &routetable.Engine{MemoryTokens: 34000, CopyRate: tc.copyRate}
--- a/internal/placement/returns.go
+++ b/internal/placement/returns.go
@@ -7,32 +7,35 @@
 )
 
 const (
-	// ReturnEach is the time between two callers that come back once upstreams take work again.
+	// ReturnEach is the time between the retries of two callers once upstreams take requests
+	// again.
 	ReturnEach = 10 * time.Millisecond
-	// ReturnWithin is the time from then on within which callers come back.
+	// ReturnWithin is the time, from then on, within which callers retry.
 	ReturnWithin = time.Second
 )
 
-// Returns orders the callers that were refused while no upstream of their service took work, so
-// that they do not all come back at one moment. The zero value is ready to use.
+// Returns schedules the retries of callers that were refused while no upstream of their service
+// took requests, so that they do not all retry at the same moment. The zero value is ready to
+// use.
 type Returns struct {
 	mu sync.Mutex
-	// next is when the next caller of a service should come back.
+	// next is the time, by service, at which the next caller should retry.
 	next map[string]time.Time
 }
 
-// At is when a caller of a service should come back whose upstreams take work again from opens on:
-// one after another in the order in which they were refused. More than can come so within
-// ReturnWithin come at any time in it.
-func (r *Returns) At(service string, opens time.Time) time.Time {
+// At returns when a refused caller of a service should retry. opensAt is the time from which on
+// the upstreams take requests again. Callers retry one after another, in the order in which
+// they were refused. Those that would retry later than ReturnWithin get a random time within
+// it.
+func (r *Returns) At(service string, opensAt time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.next[service]
-	if at.Before(opens) {
-		at = opens
+	if at.Before(opensAt) {
+		at = opensAt
 	}
-	if at.Sub(opens) > ReturnWithin {
-		return opens.Add(time.Duration(rand.Int64N(int64(ReturnWithin))))
+	if at.Sub(opensAt) > ReturnWithin {
+		return opensAt.Add(time.Duration(rand.Int64N(int64(ReturnWithin))))
 	}
 	if r.next == nil {
 		r.next = map[string]time.Time{}
--- a/internal/placement/returns_test.go
+++ b/internal/placement/returns_test.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// Callers that are refused while all upstreams rest come back one after another, the first of them
-// first, and none later than a second after the rest.
-func TestCallersComeBackInOrderAfterARest(t *testing.T) {
+// TestCallersRetryInOrderAfterBackoff checks that callers refused while all upstreams are in
+// back-off are told to retry one after another, in the order of their refusals, and within
+// ReturnWithin of its end. Callers that all retried at its end would overload the upstreams
+// again.
+func TestCallersRetryInOrderAfterBackoff(t *testing.T) {
 	var r Returns
-	opens := time.Now().Add(time.Second)
-	last := opens
+	opensAt := time.Now().Add(time.Second)
+	last := opensAt
 	for i := range 100 {
-		at := r.At("app", opens)
+		at := r.At("app", opensAt)
 		if at.Before(last) || i > 0 && at.Sub(last) != ReturnEach {
-			t.Fatalf("caller %d comes back %s after the one before, want %s", i, at.Sub(last), ReturnEach)
+			t.Fatalf("caller %d retries %s after the previous one, want %s", i, at.Sub(last), ReturnEach)
 		}
 		last = at
 	}
 	for range 1000 {
-		if at := r.At("app", opens); at.Before(opens) || at.Sub(opens) > ReturnWithin {
-			t.Fatalf("a caller comes back %s after the rest, want within %s", at.Sub(opens), ReturnWithin)
+		if at := r.At("app", opensAt); at.Before(opensAt) || at.Sub(opensAt) > ReturnWithin {
+			t.Fatalf("a caller retries %s after the back-off, want within %s", at.Sub(opensAt), ReturnWithin)
 		}
 	}
-	if at := r.At("app", opens.Add(time.Minute)); !at.Equal(opens.Add(time.Minute)) {
-		t.Errorf("the first caller of the next rest comes back %s after it, want at its end", at.Sub(opens.Add(time.Minute)))
+	if at := r.At("app", opensAt.Add(time.Minute)); !at.Equal(opensAt.Add(time.Minute)) {
+		t.Errorf("the first caller of the next back-off retries %s after its end, want at its end", at.Sub(opensAt.Add(time.Minute)))
 	}
 }
--- a/internal/placement/room_test.go
+++ b/internal/placement/room_test.go
@@ -9,10 +9,11 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// readToken is the time to read a prompt token in these tests.
+// readToken is the time to prefill a prompt token in these tests.
 const readToken = 140 * time.Microsecond
 
-// TestRoom covers whether an engine with a load has room for a generation.
+// TestRoom checks when an engine with a given load takes another generation. Without these
+// limits engines would preempt streams or start generations too late.
 func TestRoom(t *testing.T) {
 	engine := &routetable.Engine{Slots: 8, MemoryTokens: 10000, EventTokens: 4}
 	long := Generation{Engine: engine, Prompt: 2000, Output: 1000, StartBy: time.Second}
@@ -24,16 +25,16 @@
 		reserve float64
 		want    error
 	}{
-		{"an idle engine", gossip.Load{}, long, 0, nil},
-		{"a prompt that no engine can hold", gossip.Load{}, Generation{Engine: engine, Prompt: 10001}, 0, ErrTooLarge},
-		{"a prompt that fills an idle engine", gossip.Load{}, Generation{Engine: engine, Prompt: 9900, Output: 1}, 0, nil},
+		{"idle engine", gossip.Load{}, long, 0, nil},
+		{"prompt larger than the memory", gossip.Load{}, Generation{Engine: engine, Prompt: 10001}, 0, ErrTooLarge},
+		{"prompt that fills an idle engine", gossip.Load{}, Generation{Engine: engine, Prompt: 9900, Output: 1}, 0, nil},
 		{"half of the memory held", gossip.Load{Running: 2, Held: 5000, Tokens: 6000}, long, 0, nil},
 		{"nearly all memory held", gossip.Load{Running: 2, Held: 8000, Tokens: 9000}, long, 0, ErrMemory},
-		{"a brief one fits beside it", gossip.Load{Running: 2, Held: 8000, Tokens: 9000}, brief, 0, nil},
-		{"room is kept for engines that leave", gossip.Load{Running: 2, Held: 5000, Tokens: 6000}, long, 0.3, ErrMemory},
-		{"a brief one uses that room", gossip.Load{Running: 2, Held: 8000, Tokens: 9000}, brief, 0.3, nil},
+		{"brief generation still fits", gossip.Load{Running: 2, Held: 8000, Tokens: 9000}, brief, 0, nil},
+		{"memory reserved for moves", gossip.Load{Running: 2, Held: 5000, Tokens: 6000}, long, 0.3, ErrMemory},
+		{"brief generation uses the reserve", gossip.Load{Running: 2, Held: 8000, Tokens: 9000}, brief, 0.3, nil},
 		{"all slots taken", gossip.Load{Running: 8, Held: 1000, Tokens: 1000}, brief, 0, ErrSlots},
-		{"prompts wait that would make it late", gossip.Load{Running: 1, Held: 1000, Tokens: 1000, Prefill: 7000}, brief, 0, ErrPrompts},
+		{"waiting prompts delay the start too much", gossip.Load{Running: 1, Held: 1000, Tokens: 1000, Prefill: 7000}, brief, 0, ErrPrompts},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := Room(tc.load, &tc.demand, 0, (1-tc.reserve)*float64(engine.MemoryTokens), readToken); !errors.Is(got, tc.want) {
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -8,105 +8,107 @@
 	"github.com/sparshore/sparshore/internal/fleet"
 )
 
-// choice is a candidate that can take a request, and what it costs there by what is known
-// of its load.
-type choice struct {
+// scoredCandidate is a candidate that can take a request, with the cost of placing the request
+// there.
+type scoredCandidate struct {
 	candidate *Candidate
 	cost      float64
 }
 
-// choices are the upstreams of one zone that can take a request.
-type choices struct {
-	list []choice
-	// rate is the number of requests a second that other entries place there, and
-	// unheard the number that they are expected to have placed without this entry
-	// knowing yet.
-	rate    float64
-	unheard float64
+// zoneCandidates holds the candidates of one zone that can take a request.
+type zoneCandidates struct {
+	list []scoredCandidate
+	// rate is the number of requests a second that other entries place in the zone. unreported
+	// is the expected number of requests that they have placed and that this entry has not
+	// learned of yet.
+	rate       float64
+	unreported float64
 }
 
-// unheardMargin is the number of requests that are expected where one is: how many there
-// are varies. With news of 100 ms 71 of 7,600 generations left their zone with it, and 143
-// without; late starts are the same, 1 and 1 (TestOldNewsDoesNotCrowdEngines, one run each).
-const unheardMargin = 2
+// unreportedFactor scales the expected number of unreported requests, because the actual number
+// varies. In the model of 144 engines in the tests of internal/gateway, with load reports 100
+// ms old, 71 of 7,600 generations left their zone with it and 143 without; 1 began late in
+// either case (one run each).
+const unreportedFactor = 2
 
-// spread chooses an upstream for a request that costs unit once it is placed. Entries
-// that learn of each other's placements after a delay see the same upstream as the best
-// one and would all take it, most of all one that has just begun and holds nothing. So the
-// requests that the others placed meanwhile are expected where they cost least, and an
-// upstream is taken with the probability of its part in that. With news of no age that is
-// the upstream that costs least.
+// spread chooses an upstream for a request that adds costPerRequest to the cost of the upstream
+// that takes it. Entries learn of each other's placements after a delay, so all see the same
+// upstream as the cheapest one and would all choose it, most of all an engine that has just
+// started and is empty. spread therefore assumes that the unreported requests of other entries
+// went where they cost least (water filling), and draws an upstream with a probability
+// proportional to its share of them. Without delay that is the cheapest upstream.
 //
-// Entries keep to their zone, so in the own zone the others' requests of that zone are
-// expected. A zone that looks better from here looks so to all entries; it is taken if
-// it still does with the requests of all of them.
+// Entries prefer their own zone, so for the own zone only the unreported requests of that zone
+// are counted. Another zone that looks better from here looks better to all entries. It is
+// chosen only if it is still better with the unreported requests of all zones.
 //
 // cost reports false for upstreams that cannot take the request.
 //
-// With news of 50, 100 and 350 ms 0, 1 and 26 of 7,600 generations begin late, behind
-// others' prompts; 290, 977 and 3,498 when each entry takes the best engine (model of 144
-// engines that read half of the time, TestOldNewsDoesNotCrowdEngines, one run each).
-func (v *View) spread(list []Candidate, unit float64, cost func(c *Candidate) (float64, bool)) (fleet.Upstream, bool) {
-	zones := map[string]*choices{}
+// In the model of 144 engines in the tests of internal/gateway, which prefill half of the time,
+// 0, 1 and 26 of 7,600 generations begin late behind prompts of other entries, with load
+// reports 50, 100 and 350 ms old. If each entry takes the cheapest engine, 290, 977 and 3,498
+// do (one run each).
+func (v *View) spread(list []Candidate, costPerRequest float64, cost func(c *Candidate) (float64, bool)) (fleet.Upstream, bool) {
+	zones := map[string]*zoneCandidates{}
 	for i := range list {
 		c := &list[i]
-		amount, ok := cost(c)
+		price, ok := cost(c)
 		if !ok {
 			continue
 		}
 		z := zones[c.Zone]
 		if z == nil {
-			z = &choices{}
+			z = &zoneCandidates{}
 			zones[c.Zone] = z
 		}
-		z.list = append(z.list, choice{candidate: c, cost: amount})
+		z.list = append(z.list, scoredCandidate{candidate: c, cost: price})
 		z.rate += c.Rate
 	}
-	all := 0.0
+	totalUnreported := 0.0
 	for zone, z := range zones {
-		z.unheard = unheardMargin * z.rate * v.Delay(zone).Seconds()
-		all += z.unheard
+		z.unreported = unreportedFactor * z.rate * v.Delay(zone).Seconds()
+		totalUnreported += z.unreported
 	}
-	var chosen *choices
-	least := math.Inf(1)
+	var chosen *zoneCandidates
+	lowest := math.Inf(1)
 	for zone, z := range zones {
 		if zone != v.Zone {
-			z.unheard = all
+			z.unreported = totalUnreported
 		}
-		slices.SortFunc(z.list, func(a, b choice) int { return cmp.Compare(a.cost, b.cost) })
-		if l := z.level(unit); l < least {
-			chosen, least = z, l
+		slices.SortFunc(z.list, func(a, b scoredCandidate) int { return cmp.Compare(a.cost, b.cost) })
+		if l := z.waterLevel(costPerRequest); l < lowest {
+			chosen, lowest = z, l
 		}
 	}
 	if chosen == nil {
 		return fleet.Upstream{}, false
 	}
-	return chosen.pick(least, v.Random()).candidate.Upstream, true
+	return chosen.draw(lowest, v.Random()).candidate.Upstream, true
 }
 
-// level is the cost up to which the requests that are not heard of yet fill the
-// upstreams that cost least. The list is in order of cost.
-func (c *choices) level(unit float64) float64 {
-	amount := c.unheard * unit
+// waterLevel returns the cost up to which the unreported requests fill the cheapest upstreams.
+// The list must be sorted by cost.
+func (c *zoneCandidates) waterLevel(costPerRequest float64) float64 {
+	volume := c.unreported * costPerRequest
 	sum, level := 0.0, c.list[0].cost
 	for i, u := range c.list {
 		if i > 0 && u.cost >= level {
 			break
 		}
 		sum += u.cost
-		level = (sum + amount) / float64(i+1)
+		level = (sum + volume) / float64(i+1)
 	}
 	return level
 }
 
-// pick returns an upstream under a level, each with the probability of what it lacks to
-// it; random is a number from 0 up to 1.
-func (c *choices) pick(level, random float64) choice {
-	lacks := make([]float64, len(c.list))
+// draw returns an upstream that costs less than level, with a probability proportional to the
+// difference, or the cheapest one if none does. random is in [0, 1).
+func (c *zoneCandidates) draw(level, random float64) scoredCandidate {
+	gaps := make([]float64, len(c.list))
 	for i, u := range c.list {
-		lacks[i] = max(level-u.cost, 0)
+		gaps[i] = max(level-u.cost, 0)
 	}
-	if i, ok := drawIndex(lacks, random); ok {
+	if i, ok := drawIndex(gaps, random); ok {
 		return c.list[i]
 	}
 	return c.list[0]
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -38,7 +38,7 @@
 mutant gateway-second-copy $gateway/move.go 's/s\.copies = append\(s\.copies, held\)/_ = append(s.copies, held)/' $gateway TestMove
 mutant gateway-faulty $gateway/attempt.go 's/s\.g\.faulty\(st\.at\.ID\)/s.g.fleet.Note(st.at.ID, fleet.Failed)/' $gateway TestEngineThatFailsAtOnce
 mutant gateway-silent $gateway/attempt.go 's/\tg\.faulty\(upstream\)\n//' $gateway TestEngineThatStaysSilent
-mutant placement-spread $placement/target.go 's/drawIndex\(near, v\.Random\(\)\)/drawIndex(near, 0)/' $gateway TestTargetsOfMoves
+mutant placement-spread $placement/target.go 's/drawIndex\(sameZone, v\.Random\(\)\)/drawIndex(sameZone, 0)/' $gateway TestTargetsOfMoves
 mutant placement-room $placement/room.go 's/return ErrMemory/return nil/' internal/placement TestRoom
 mutant placement-kept-room $placement/room.go 's/usable = float64\(e\.MemoryTokens\)/_ = e.Slots/' internal/placement TestRoom
 mutant placement-waiting-prompts $placement/room.go 's/return ErrPrompts/return nil/' internal/placement TestRoom
@@ -60,7 +60,7 @@
 mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerThatIsThere|TestUpstreamsFailureGoes'
 mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestFaultOfThisProgram
 mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsComeBack
-mutant placement-overload-age $placement/overload.go 's/min\(ageOfShare\*share, 1\)/0*share/' internal/placement TestOverloadTells
+mutant placement-overload-age $placement/overload.go 's/min\(ageFactor\*share, 1\)/0*share/' internal/placement TestRetryAfterGrowsWithOverload
 mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestWhoIsBlamed
 mutant gateway-copy-outlasts $gateway/move.go 's/context\.WithTimeout\(context\.Background\(\), copyWithin\)/context.WithTimeout(s.rq.caller, copyWithin)/' $gateway TestCopyThatOutlasts
 mutant gateway-brief-stay $gateway/move.go 's/ && !s\.endsWithin\(copyTakes\)//' $gateway TestMovable
@@ -79,7 +79,7 @@
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.firstHand && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
 mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRoutesOnlyGoUp
 
-mutant placement-old-news $placement/spread.go 's/unheardMargin \* z\.rate/0 * z.rate/' $gateway TestOldNews
+mutant placement-old-news $placement/spread.go 's/unreportedFactor \* z\.rate/0 * z.rate/' $gateway TestOldNews
 mutant relay-hold-end internal/relay/server.go 's/\t\t\tover = true/\t\t\treturn l.encode(a, asked), nil/' internal/relay TestAnswerTellsTheLatest
 mutant relay-turns internal/relay/store.go 's/if self \|\| s\.turn\(\) \{/if self || s.turn() || true {/' internal/relay TestTurnsAtTheStore
 mutant relay-second-delegate internal/relay/store.go 's/for range maxAsked \{\n\t\tvar p Peer/for range 1 {\n\t\tvar p Peer/' internal/relay TestAnotherDelegate
@@ -298,7 +298,7 @@
 mutant rest-at-once $gateway/permit.go 's/if err != nil && g\.allInBackOff\(service, exclude\)/if false/' internal/gateway TestAllUpstreamsRest
 mutant rest-latest internal/fleet/backoff.go 's/m\.backOff = later\(m\.backOff, (.*)\)\n/m.backOff = $1\n/' internal/fleet TestLatestRestHolds
 mutant rest-one internal/fleet/backoff.go 's/m\.InBackOff\(s\.now\(\)\) && m\.backOffUsed/false/' internal/fleet TestOneRequestDuringARest
-mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(ReturnEach\)\n//' internal/placement TestCallersComeBackInOrder
+mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(ReturnEach\)\n//' internal/placement TestCallersRetryInOrder
 mutant leaving-peer internal/fleet/set.go 's/s\.mark\(id, entry, true\)/s.mark(id, entry, false)/' internal/fleet TestUpstreamThatSaidItLeavesNever
 mutant leaving-lapsed internal/fleet/set.go 's/if m\.state == Lapsed \{\n\t\t\/\/ Its/if false {\n\t\t\/\/ Its/; s/\tm\.until = time\.Time\{\}\n\ts\.release/\ts.release/' internal/fleet TestUpstreamThatSaidItLeavesNever
 mutant leaving-told internal/fleet/set.go 's/if lately \|\| !m\.Leaving && unwritten <= mostUnwritten/if lately/' internal/fleet TestLeaveThatNoRecord
