--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -2,35 +2,36 @@
 
 import "sync"
 
-// Budget bounds retries to a part of the requests, so that failures never
-// multiply the load.
+// Budget is a token bucket that limits retries to a part of the requests, so that failures
+// never multiply the load.
 type Budget struct {
-	part  float64
-	limit float64
+	ratio float64
+	burst float64
 
-	mu   sync.Mutex
-	have float64
+	mu     sync.Mutex
+	tokens float64
 }
 
-// NewBudget allows part retries for each request, and at most limit saved up.
-func NewBudget(part, limit float64) *Budget {
-	return &Budget{part: part, limit: limit, have: limit}
+// NewBudget returns a full budget that gains ratio retries for each request and holds at most
+// burst of them.
+func NewBudget(ratio, burst float64) *Budget {
+	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Request notes a first attempt.
+// Request records a first attempt, which adds to the budget.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.have = min(b.limit, b.have+b.part)
+	b.tokens = min(b.burst, b.tokens+b.ratio)
 }
 
-// Retry takes one retry out of the budget; it returns false if there is none.
+// Retry takes one retry from the budget; it returns false if the budget is used up.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.have < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.have--
+	b.tokens--
 	return true
 }
--- a/internal/routing/onewaywindow_test.go
+++ b/internal/routing/onewaywindow_test.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// An entry hears others that do not hear it: a link that is cut one way. It counted on the part of
-// their shares that they do not keep to themselves, and they, who hear nobody, took it themselves:
-// 652 attempts of 400 allowed. Their messages tell which of its own came last, so it knows.
-func TestHearingOneWayKeepsTheBudget(t *testing.T) {
+// TestAsymmetricLinkKeepsTheBudget guards against exceeding the budget over a link that is cut
+// in one direction. An entry receives the messages of others, but they receive none of its
+// messages. If it borrowed from their shares, they would use the same shares in full, unaware
+// of that: 652 extra attempts of 400 allowed. Messages tell when their sender last received one
+// of this entry, so it can leave out senders that do not learn of its attempts.
+func TestAsymmetricLinkKeepsTheBudget(t *testing.T) {
 	const entries, extra = 5, 400
 	for _, tc := range []struct {
 		name string
-		// last is when the others heard the entry last, before the first attempt.
+		// last is the time from the last message that the others received of the entry until
+		// the first attempt.
 		last time.Duration
 	}{
 		{"never", time.Hour},
-		{"until a while ago", heardWithin + time.Millisecond},
+		{"longer ago than the limit", minPeerTTL + time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := time.Now()
@@ -26,15 +29,15 @@
 				w.Entries(entries)
 				windows = append(windows, w)
 			}
-			heard, total := at.Add(-tc.last), 0
+			received, total := at.Add(-tc.last), 0
 			for range 80 {
 				for j, other := range windows[1:] {
-					windows[0].HeardBy(string(rune('b'+j)), other.Use(), heard)
+					windows[0].HeardBy(string(rune('b'+j)), other.Use(), received)
 				}
 				for windows[0].Repeat(0) {
 					total++
 				}
-				at = at.Add(toldWithin + time.Millisecond)
+				at = at.Add(minPropagation + time.Millisecond)
 			}
 			for _, w := range windows[1:] {
 				for w.Repeat(0) {
@@ -45,7 +48,7 @@
 				t.Errorf("%d extra attempts of all entries, want at most %d", total, extra)
 			}
 			if total < extra-entries {
-				t.Errorf("%d extra attempts of all entries, want the share of each used", total)
+				t.Errorf("%d extra attempts of all entries, want the share of each entry used", total)
 			}
 		})
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
+// TestOrderPrefers checks which of two upstreams comes first when they differ in a term of the
+// score.
 func TestOrderPrefers(t *testing.T) {
 	tests := []struct {
 		name  string
 		a, b  Candidate
 		first string
 	}{
-		{"the own zone", Candidate{Name: "far"}, Candidate{Name: "near", SameZone: true}, "near"},
-		{"another zone over a long wait", Candidate{Name: "far"}, Candidate{Name: "near", SameZone: true, Wait: time.Second}, "far"},
-		{"a fresh report", Candidate{Name: "old", Age: 10 * time.Second}, Candidate{Name: "new"}, "new"},
-		{"a cached prompt", Candidate{Name: "cold"}, Candidate{Name: "warm", PrefixPart: 1}, "warm"},
-		{"free memory over a cached prompt", Candidate{Name: "free"}, Candidate{Name: "warm", PrefixPart: 1, UsedPart: 0.9}, "free"},
-		{"one it sent less to", Candidate{Name: "busy", SentSince: 5}, Candidate{Name: "idle"}, "idle"},
+		{"same zone", Candidate{Name: "far"}, Candidate{Name: "near", SameZone: true}, "near"},
+		{"other zone over a long wait", Candidate{Name: "far"}, Candidate{Name: "near", SameZone: true, Wait: time.Second}, "far"},
+		{"fresh report", Candidate{Name: "old", Age: 10 * time.Second}, Candidate{Name: "new"}, "new"},
+		{"cached prompt", Candidate{Name: "cold"}, Candidate{Name: "warm", PrefixPart: 1}, "warm"},
+		{"free memory over cached prompt", Candidate{Name: "free"}, Candidate{Name: "warm", PrefixPart: 1, UsedPart: 0.9}, "free"},
+		{"fewer requests sent since the report", Candidate{Name: "busy", SentSince: 5}, Candidate{Name: "idle"}, "idle"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -29,6 +31,8 @@
 	}
 }
 
+// TestBudgetKeepsRetriesToAPartOfRequests guards against retries that multiply the load of
+// failing upstreams.
 func TestBudgetKeepsRetriesToAPartOfRequests(t *testing.T) {
 	b := NewBudget(0.1, 10)
 	const requests = 10_000
--- a/internal/routing/window.go
+++ b/internal/routing/window.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// windowParts is the number of parts a window is counted in; a part that is
-// only partly inside the window counts whole, so the bound holds for any span.
-const windowParts = 10
+// windowBuckets is the number of buckets in which a window is counted. A bucket that is only
+// partly inside the window counts in full, so the bound holds for any span.
+const windowBuckets = 10
 
 const (
-	// heardWithin is the least age up to which what another entry said is counted on:
-	// some messages, which are sent at least every 200 ms among a few entries.
-	heardWithin = 600 * time.Millisecond
-	// toldWithin is the least time in which the others learn of a repeat: a message
-	// follows at once, and the next one, should it be lost, within 200 ms.
-	toldWithin = 250 * time.Millisecond
+	// minPeerTTL is the least time for which the reported counts of another entry are used. It
+	// covers several messages: among few entries they are sent at least every 200 ms.
+	minPeerTTL = 600 * time.Millisecond
+	// minPropagation is the least time in which the other entries learn of an extra attempt: a
+	// message follows at once, and the next one, should the first be lost, within 200 ms.
+	minPropagation = 250 * time.Millisecond
 )
 
-// keptPart is the part of its share that an entry keeps to itself: one or two
-// repeats at once, while the rest goes to whoever needs it. With half kept, streams
-// of which the copy was there were still cut for want of budget.
-const keptPart = 0.2
+// privateFraction is the part of its share that an entry does not lend: enough for one or two
+// extra attempts at once, while the rest goes to whichever entry needs it. With half of the
+// share private, streams were cut for lack of budget although the copy of their memory was
+// ready.
+const privateFraction = 0.2
 
-// Use is what one entry counted in the window.
+// Use holds the counts of one entry in the window.
 type Use struct {
 	Requests int
 	Repeats  int
 }
 
-// Window bounds the extra attempts of all entries in a sliding window: a part of
-// the requests they had, and an allowance for the whole deployment. Each entry
-// keeps a part of its share to itself; the rest is for all that hear each other.
-// Out of that rest an entry takes at a time only what is left divided by the
-// number of those entries, because all may take before they hear of each other.
-// The share of an entry that is not heard stays reserved.
+// Window bounds the extra attempts (retries and hedges) of all entries in a sliding window to a
+// part of their requests plus an allowance for the whole deployment. Each entry has a share of
+// that and keeps a private fraction of it; the rest is lent among the entries that receive each
+// other's messages. An entry borrows at a time no more than what is available divided by the
+// number of those entries, because all may borrow before they learn of each other's attempts.
+// The share of an entry whose messages do not arrive stays reserved for it.
 type Window struct {
 	ratio float64
 	extra float64
@@ -43,28 +44,29 @@
 
 	mu      sync.Mutex
 	entries int
-	// told and heard are the times in which the others learn of a repeat, and up to
-	// which what another entry said is counted on.
-	told, heard time.Duration
-	part        int64
-	requests    [windowParts + 1]int
-	repeats     [windowParts + 1]int
-	peers       map[string]heardUse
-	// lent are the times of the latest attempts beyond the own share.
-	lent []time.Time
+	// propagation is the time in which the other entries learn of an extra attempt. peerTTL is
+	// the age up to which their reported counts are used.
+	propagation, peerTTL time.Duration
+	bucket               int64
+	requests             [windowBuckets + 1]int
+	repeats              [windowBuckets + 1]int
+	peers                map[string]peerUse
+	// borrowed holds the times of the recent attempts beyond the private fraction.
+	borrowed []time.Time
 }
 
-type heardUse struct {
+// peerUse holds the reported counts of another entry.
+type peerUse struct {
 	Use
-	at time.Time
-	// hears is when it last heard this entry.
-	hears time.Time
+	receivedAt time.Time
+	// lastReceived is when that entry last received a message of this one.
+	lastReceived time.Time
 }
 
-// NewWindow allows, in each span, ratio extra attempts for each request and a
-// share of extra that is divided by the number of entries.
+// NewWindow returns a window that allows, in each span, ratio extra attempts for each request,
+// and extra more that are divided among the entries.
 func NewWindow(ratio, extra float64, span time.Duration, now func() time.Time) *Window {
-	return &Window{ratio: ratio, extra: extra, span: span, now: now, entries: 1, told: toldWithin, heard: heardWithin, peers: map[string]heardUse{}}
+	return &Window{ratio: ratio, extra: extra, span: span, now: now, entries: 1, propagation: minPropagation, peerTTL: minPeerTTL, peers: map[string]peerUse{}}
 }
 
 // Entries sets the number of entries that share the allowance.
@@ -74,15 +76,16 @@
 	w.entries = max(n, 1)
 }
 
-// Messages sets in which time the others learn of a repeat, and after which silence one
-// is not counted on: with many entries messages are further apart.
-func (w *Window) Messages(told, silence time.Duration) {
+// Messages sets the time in which the other entries learn of an extra attempt, and the age up
+// to which their counts are used. Both grow with the number of entries, since messages are
+// further apart then.
+func (w *Window) Messages(propagation, peerTTL time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told, w.heard = max(told, toldWithin), max(silence, heardWithin)
+	w.propagation, w.peerTTL = max(propagation, minPropagation), max(peerTTL, minPeerTTL)
 }
 
-// Use returns what this entry counted in the window.
+// Use returns the counts of this entry in the window.
 func (w *Window) Use() Use {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,98 +93,100 @@
 	return w.use()
 }
 
-// Heard takes over what another entry counted that hears this one.
+// Heard records the counts of another entry that receives the messages of this one.
 func (w *Window) Heard(entry string, u Use) { w.HeardBy(entry, u, w.now()) }
 
-// HeardBy takes over what another entry counted, and when it last heard this one, as far as is
-// known; zero for never.
-func (w *Window) HeardBy(entry string, u Use, heard time.Time) {
+// HeardBy records the counts of another entry. lastReceived is when that entry last received a
+// message of this one, as far as is known; zero means never.
+func (w *Window) HeardBy(entry string, u Use, lastReceived time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.peers[entry] = heardUse{Use: u, at: w.now(), hears: heard}
+	w.peers[entry] = peerUse{Use: u, receivedAt: w.now(), lastReceived: lastReceived}
 }
 
-// Request notes a request of a caller.
+// Request records a request of a caller.
 func (w *Window) Request() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests[w.advance()]++
 }
 
-// Repeat takes one extra attempt out of the budget. reserve is the part of the
-// budget, 0 to 1, that must stay for more important attempts.
+// Repeat takes one extra attempt from the budget; it returns false if the budget is used up.
+// reserve is the part of the budget, 0 to 1, that must stay for more important attempts.
 func (w *Window) Repeat(reserve float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := w.advance()
 	own := w.use()
-	if float64(own.Repeats+1) > keptPart*w.share(own)*(1-reserve) && !w.lend(own, reserve) {
+	if float64(own.Repeats+1) > privateFraction*w.share(own)*(1-reserve) && !w.borrow(own, reserve) {
 		return false
 	}
 	w.repeats[i]++
 	return true
 }
 
-// lend takes one attempt out of what the entries that are heard do not keep to
-// themselves.
-func (w *Window) lend(own Use, reserve float64) bool {
+// borrow takes one attempt from what the entries that exchange messages lend; it returns false
+// if that is used up.
+func (w *Window) borrow(own Use, reserve float64) bool {
 	now := w.now()
-	for len(w.lent) > 0 && now.Sub(w.lent[0]) > w.told {
-		w.lent = w.lent[1:]
+	for len(w.borrowed) > 0 && now.Sub(w.borrowed[0]) > w.propagation {
+		w.borrowed = w.borrowed[1:]
 	}
-	left := w.left(own, reserve)
-	heard := 1
+	available := w.lendable(own, reserve)
+	sharers := 1
 	for name, p := range w.peers {
-		if now.Sub(p.at) > w.heard {
+		if now.Sub(p.receivedAt) > w.peerTTL {
 			delete(w.peers, name)
 			continue
 		}
-		if now.Sub(p.hears) > w.heard {
-			// It does not know what is taken of its share, and takes that itself: 652
-			// attempts of 400 where four entries are heard that hear nobody.
+		if now.Sub(p.lastReceived) > w.peerTTL {
+			// This entry does not learn what is borrowed from its share and uses the share
+			// itself. Without this check, an entry that receives messages of four others that
+			// receive none led to 652 extra attempts of 400 allowed.
 			continue
 		}
-		heard++
-		left += w.left(p.Use, reserve)
+		sharers++
+		available += w.lendable(p.Use, reserve)
 	}
-	lately := float64(len(w.lent))
-	if (lately+1)*float64(heard) > left+lately {
+	recent := float64(len(w.borrowed))
+	if (recent+1)*float64(sharers) > available+recent {
 		return false
 	}
-	w.lent = append(w.lent, now)
+	w.borrowed = append(w.borrowed, now)
 	return true
 }
 
 func (w *Window) use() Use { return Use{Requests: sum(w.requests[:]), Repeats: sum(w.repeats[:])} }
 
-// share is what an entry that counted u may use without regard to the others.
+// share returns what an entry with the counts u may use, before borrowing and lending.
 func (w *Window) share(u Use) float64 {
 	return w.ratio*float64(u.Requests) + w.extra/float64(w.entries)
 }
 
-// left is what others may take of an entry's share, less the part in reserve; it
-// is negative for an entry that took from others.
-func (w *Window) left(u Use, reserve float64) float64 {
+// lendable returns what others may borrow of an entry's share, less the part in reserve. It is
+// negative for an entry that borrowed from others.
+func (w *Window) lendable(u Use, reserve float64) float64 {
 	share := w.share(u) * (1 - reserve)
-	return share - max(float64(u.Repeats), keptPart*share)
+	return share - max(float64(u.Repeats), privateFraction*share)
 }
 
-// advance moves to the part of the present time and empties those passed over.
+// advance moves to the bucket of the present time, clears the buckets in between and returns
+// the index of the current one.
 func (w *Window) advance() int {
-	part := int64(w.now().Sub(epoch) / (w.span / windowParts))
-	steps := min(part-w.part, windowParts+1)
+	current := int64(w.now().Sub(windowOrigin) / (w.span / windowBuckets))
+	steps := min(current-w.bucket, windowBuckets+1)
 	for k := int64(1); k <= steps; k++ {
-		i := (w.part + k) % (windowParts + 1)
+		i := (w.bucket + k) % (windowBuckets + 1)
 		w.requests[i], w.repeats[i] = 0, 0
 	}
-	if part > w.part {
-		w.part = part
+	if current > w.bucket {
+		w.bucket = current
 	}
-	return int(w.part % (windowParts + 1))
+	return int(w.bucket % (windowBuckets + 1))
 }
 
-// epoch is the steady time from which parts are numbered.
-var epoch = time.Now()
+// windowOrigin is the time from which buckets are numbered; it has a monotonic clock reading.
+var windowOrigin = time.Now()
 
 func sum(v []int) int {
 	n := 0
--- a/internal/routing/window_test.go
+++ b/internal/routing/window_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestWindowBoundsRepeats checks the bound of a single entry, and that attempts are allowed again
+// once the window has passed.
 func TestWindowBoundsRepeats(t *testing.T) {
 	at := time.Now()
 	w := NewWindow(0.2, 8, 10*time.Second, func() time.Time { return at })
@@ -29,6 +31,7 @@
 	}
 }
 
+// TestWindowReserve checks that hedges leave their reserve of the budget to retries.
 func TestWindowReserve(t *testing.T) {
 	at := time.Now()
 	w := NewWindow(0, 10, 10*time.Second, func() time.Time { return at })
@@ -44,46 +47,50 @@
 	}
 }
 
-// In any span of the window's length the bound holds, wherever it starts.
+// TestWindowSlides checks that the bound holds in any span of the window's length, wherever it
+// starts. A window that is cleared as a whole allows twice the budget around that moment.
 func TestWindowSlides(t *testing.T) {
 	at := time.Now()
 	w := NewWindow(0, 10, 10*time.Second, func() time.Time { return at })
-	var made []time.Time
+	var times []time.Time
 	for range 600 {
 		if w.Repeat(0) {
-			made = append(made, at)
+			times = append(times, at)
 		}
 		at = at.Add(100 * time.Millisecond)
 	}
-	for i := range made {
+	for i := range times {
 		n := 0
-		for _, m := range made[i:] {
-			if m.Sub(made[i]) < 10*time.Second {
+		for _, m := range times[i:] {
+			if m.Sub(times[i]) < 10*time.Second {
 				n++
 			}
 		}
 		if n > 10 {
-			t.Fatalf("%d repeats within 10s of the %d. one, want at most 10", n, i)
+			t.Fatalf("%d repeats within 10s of number %d, want at most 10", n, i)
 		}
 	}
-	if len(made) < 30 {
-		t.Errorf("%d repeats in a minute, want the budget used", len(made))
+	if len(times) < 30 {
+		t.Errorf("%d repeats in a minute, want the budget used", len(times))
 	}
 }
 
-func TestWindowLends(t *testing.T) {
+// TestWindowBorrowsFromPeers checks what an entry may borrow, depending on the counts that the
+// others reported.
+func TestWindowBorrowsFromPeers(t *testing.T) {
 	tests := []struct {
 		name string
-		// peers is what the other three entries said, and how long ago.
+		// peers holds the counts that the other three entries reported, and ago the age of
+		// these reports.
 		peers map[string]Use
 		ago   time.Duration
 		want  int
 	}{
-		{"alone it has its share", nil, 0, 10},
-		{"others that are idle leave a part of theirs", map[string]Use{"b": {}, "c": {}, "d": {}}, 0, 10},
-		{"what they use is not there", map[string]Use{"b": {Repeats: 10}, "c": {Repeats: 10}, "d": {Repeats: 10}}, 0, 4},
-		{"one that took from others counts against them", map[string]Use{"b": {Repeats: 26}, "c": {}, "d": {}}, 0, 4},
-		{"what was said long ago is not counted on", map[string]Use{"b": {}, "c": {}, "d": {}}, time.Second, 10},
+		{"no reports: own share only", nil, 0, 10},
+		{"idle peers lend a part of their shares", map[string]Use{"b": {}, "c": {}, "d": {}}, 0, 10},
+		{"used shares are not lent", map[string]Use{"b": {Repeats: 10}, "c": {Repeats: 10}, "d": {Repeats: 10}}, 0, 4},
+		{"attempts borrowed by a peer are subtracted", map[string]Use{"b": {Repeats: 26}, "c": {}, "d": {}}, 0, 4},
+		{"old reports are ignored", map[string]Use{"b": {}, "c": {}, "d": {}}, time.Second, 10},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -105,9 +112,9 @@
 	}
 }
 
-// One entry that needs many, while the others need none, gets what they do not
-// keep to themselves, a part at a time.
-func TestOneEntryTakesWhatOthersLeave(t *testing.T) {
+// TestOneEntryBorrowsWhatOthersLend checks that an entry that needs many attempts, while the
+// others need none, gets all that they lend, a part at a time.
+func TestOneEntryBorrowsWhatOthersLend(t *testing.T) {
 	at := time.Now()
 	w := NewWindow(0, 40, 100*time.Second, func() time.Time { return at })
 	w.Entries(4)
@@ -119,16 +126,16 @@
 		for w.Repeat(0) {
 			got++
 		}
-		at = at.Add(toldWithin + time.Millisecond)
+		at = at.Add(minPropagation + time.Millisecond)
 	}
 	if want := 10 + 3*8 - 3; got != want {
-		t.Errorf("%d extra attempts, want %d: its share and what three others do not keep, less what cannot be divided", got, want)
+		t.Errorf("%d extra attempts, want %d: its share and what three others lend, less what cannot be divided", got, want)
 	}
 }
 
-// Entries that take all they can at the same moments, and hear of each other
-// only later, keep to the budget together.
-func TestEntriesTogetherKeepTheBudget(t *testing.T) {
+// TestConcurrentEntriesKeepTheBudget guards against exceeding the budget when entries borrow
+// all they can at the same moments and learn of each other's attempts only later.
+func TestConcurrentEntriesKeepTheBudget(t *testing.T) {
 	const entries, extra = 5, 40
 	at := time.Now()
 	var windows []*Window
@@ -138,7 +145,7 @@
 		windows = append(windows, w)
 	}
 	total := 0
-	// The first entry never needs any; the window has not passed at the end.
+	// The first entry makes no extra attempt. The window does not pass during the test.
 	for range 12 {
 		for i, w := range windows {
 			for j, other := range windows {
@@ -152,21 +159,22 @@
 				total++
 			}
 		}
-		at = at.Add(toldWithin + time.Millisecond)
+		at = at.Add(minPropagation + time.Millisecond)
 	}
 	if total > extra {
 		t.Errorf("%d extra attempts of all entries, want at most %d", total, extra)
 	}
-	// The idle one keeps a part of its share, and the last part of the rest is too
-	// little for each to take one.
-	if float64(total) < extra-keptPart*extra/entries-entries {
-		t.Errorf("%d extra attempts of all entries, want the share of the idle one used too", total)
+	// The idle entry keeps its private fraction, and the last of what it lends is too little
+	// for each of the others to borrow one attempt.
+	if float64(total) < extra-privateFraction*extra/entries-entries {
+		t.Errorf("%d extra attempts of all entries, want the share of the idle entry used too", total)
 	}
 }
 
-// TestIdleEntriesHaveWhatTheyKept: entries that needed nothing while another one took all
-// it could find their kept parts, and all together keep to the budget.
-func TestIdleEntriesHaveWhatTheyKept(t *testing.T) {
+// TestIdleEntriesKeepTheirPrivateFraction checks that entries that made no extra attempts while
+// another one borrowed all it could still have their private fractions, and that all together
+// keep to the budget.
+func TestIdleEntriesKeepTheirPrivateFraction(t *testing.T) {
 	const entries, extra = 5, 400
 	at := time.Now()
 	var windows []*Window
@@ -183,7 +191,7 @@
 		for windows[0].Repeat(0) {
 			total++
 		}
-		at = at.Add(toldWithin + time.Millisecond)
+		at = at.Add(minPropagation + time.Millisecond)
 	}
 	for i, w := range windows[1:] {
 		for j, other := range windows {
@@ -191,14 +199,14 @@
 				w.Heard(string(rune('a'+j)), other.Use())
 			}
 		}
-		kept := 0
+		private := 0
 		for w.Repeat(0) {
-			kept++
+			private++
 		}
-		if kept < int(keptPart*extra/entries) {
-			t.Errorf("entry %d had %d attempts left, want its kept part", i+1, kept)
+		if private < int(privateFraction*extra/entries) {
+			t.Errorf("entry %d had %d attempts left, want its private fraction", i+1, private)
 		}
-		total += kept
+		total += private
 	}
 	if total > extra {
 		t.Errorf("%d extra attempts of all entries, want at most %d", total, extra)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -70,8 +70,8 @@
 mutant wire-no-rank platform/caller.go 's/(\tif a\.From != nil \{)/\th.Set(headerPriority, "2")\n$1/' platform TestForwardAttempt
 mutant fleet-failing internal/fleet/failing.go 's/failingOver = 3/failingOver = 0/' internal/fleet TestFailing
 mutant relay-hold internal/relay/store.go 's/return min\(max\(left, holdLeast\), s\.settings\.Wait\)/_ = left\n\treturn s.settings.Wait/' internal/relay TestQuestionIsHeld
-mutant retries-together internal/routing/window.go 's/\(lately\+1\)\*float64\(heard\) > left\+lately/lately+1 > left+lately+0*float64(heard)/' internal/routing TestEntriesTogether
-mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), keptPart\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
+mutant retries-together internal/routing/window.go 's/\(recent\+1\)\*float64\(sharers\) > available\+recent/recent+1 > available+recent+0*float64(sharers)/' internal/routing TestConcurrentEntries
+mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), privateFraction\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
 mutant link-pairs internal/link/link.go 's/if p\.otherRequest\(c, req, resp\) \{/if false {/' internal/link TestAnswerToTheRequestBefore
 mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && quiet\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionsAreKept'
 mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfAnEarlierLife
