--- a/internal/decision/choose.go
+++ b/internal/decision/choose.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// resumeRisk is less than the risk at admission: a paused stream stalls
-	// its caller, a waiting one does not yet.
+	// resumeRisk is lower than the risk at admission: a paused stream stalls an answer that its
+	// caller is already reading, a waiting request does not.
 	resumeRisk = 1
-	// hopeless is the part of the expected wait that must exceed the time left
-	// before a request is given up: the expectation errs on either side.
-	hopeless = 0.6
-	// pausePenalty multiplies the cost of pausing a stream for each time it
-	// gave way before, so that it is never the same one over and over.
+	// refuseWaitShare is the part of the expected wait that must exceed the time left before a
+	// request is refused. It is less than 1 because the expectation errs in both directions.
+	refuseWaitShare = 0.6
+	// pausePenalty multiplies the cost of pausing a stream for each time that it was paused
+	// before, so that the same stream is not paused over and over.
 	pausePenalty = 4.0
-	// reserveSteps is how many decode steps ahead memory must be free.
+	// reserveSteps is the number of decode steps ahead for which memory must be free.
 	reserveSteps  = 4
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Minute
 )
 
-// giveWay pauses streams before the engine runs out of memory and must choose
-// by itself.
-func (s *Scheduler) giveWay() {
-	for len(s.running) > 1 && s.Used()+s.soonNeeded() > s.settings.Blocks {
+// pauseForMemory pauses streams before the engine runs out of memory and preempts streams of
+// its own choice.
+func (s *Scheduler) pauseForMemory() {
+	for len(s.running) > 1 && s.Used()+s.blocksNeededSoon() > s.settings.Blocks {
 		st := s.victim()
 		if st == nil {
 			return
 		}
 		st.pauses++
-		s.enter(st, paused)
-		s.act(Pause, st, "memory")
+		s.moveTo(st, paused)
+		s.addAction(Pause, st, "memory")
 	}
 }
 
-// soonNeeded returns the blocks that the running streams will open within
+// blocksNeededSoon returns the number of blocks that the running streams will allocate within
 // reserveSteps output tokens.
-func (s *Scheduler) soonNeeded() int {
+func (s *Scheduler) blocksNeededSoon() int {
 	n := 0
 	for _, st := range s.running {
 		n += s.blocks(st.tokens()+reserveSteps) - s.blocks(st.tokens())
@@ -58,8 +58,7 @@
 	return best
 }
 
-// pauseCost is the work lost and stall caused for each block freed, weighted
-// by the policy.
+// pauseCost returns the work lost and the stall caused per block freed, weighted by the policy.
 func (s *Scheduler) pauseCost(st *stream) float64 {
 	if s.settings.NoVictimChoice {
 		return -float64(st.order)
@@ -70,12 +69,12 @@
 	return st.req.GiveWay * math.Pow(pausePenalty, float64(st.pauses)) * (recompute + stall) / freed
 }
 
-// resume brings paused streams back, the longest paused first.
+// resume starts paused streams again, the longest paused first.
 func (s *Scheduler) resume() {
 	if len(s.paused) == 0 {
 		return
 	}
-	f := s.foresee()
+	f := s.forecast()
 	for len(s.paused) > 0 && s.batchAllows() {
 		st := s.paused[0]
 		f.add(s, st)
@@ -83,30 +82,30 @@
 		if !alone && (!s.fits(&f, resumeRisk) || !s.hasRoom(st)) {
 			return
 		}
-		s.enter(st, running)
-		s.act(Resume, st, "memory")
+		s.moveTo(st, running)
+		s.addAction(Resume, st, "memory")
 	}
 }
 
 func (s *Scheduler) hasRoom(st *stream) bool {
-	return s.Used()+s.soonNeeded()+s.blocks(st.tokens()+reserveSteps) <= s.settings.Blocks
+	return s.Used()+s.blocksNeededSoon()+s.blocks(st.tokens()+reserveSteps) <= s.settings.Blocks
 }
 
-// admit starts waiting requests and keeps count of how fast the backlog moves.
+// admit starts waiting requests and measures how fast they start while there is a backlog.
 func (s *Scheduler) admit() {
 	s.rate.observe(s.now(), s.backlog)
 	s.startWaiting()
 	s.backlog = len(s.waiting) > 0
 }
 
-// startWaiting starts requests in order while the risk of running out of memory
-// stays within bounds. While a stream is paused nobody new goes first.
+// startWaiting starts requests in the order of the queue while the risk of running out of
+// memory stays within bounds. While a stream is paused, no new request starts before it.
 func (s *Scheduler) startWaiting() {
 	if len(s.waiting) == 0 || len(s.paused) > 0 {
 		return
 	}
 	s.sortQueue()
-	f := s.foresee()
+	f := s.forecast()
 	for len(s.waiting) > 0 && s.batchAllows() {
 		st := s.waiting[0]
 		f.add(s, st)
@@ -115,9 +114,9 @@
 			return
 		}
 		s.rate.started()
-		s.enter(st, running)
-		s.shares.start(st.virtual)
-		s.act(Admit, st, "fits")
+		s.moveTo(st, running)
+		s.fairQueue.start(st.startTag)
+		s.addAction(Admit, st, "fits")
 	}
 }
 
@@ -127,7 +126,7 @@
 			return c
 		}
 		if !s.settings.NoFairness {
-			if c := cmp.Compare(turn(a.virtual), turn(b.virtual)); c != 0 {
+			if c := cmp.Compare(fairnessBucket(a.startTag), fairnessBucket(b.startTag)); c != 0 {
 				return c
 			}
 		}
@@ -145,20 +144,20 @@
 	return len(s.running) < s.steps.limit(s.settings.TokenGap)
 }
 
-// refuse gives a final answer to those who will not start in time, at once.
+// refuse refuses, without delay, the requests that are not expected to start in time.
 func (s *Scheduler) refuse() {
 	now := s.now()
 	for i := 0; i < len(s.waiting); {
 		st := s.waiting[i]
 		wait := s.rate.wait(i + 1)
-		late := now.Add(time.Duration(hopeless * float64(wait))).After(st.req.StartBy)
-		givenUp := late && !s.settings.NoRefusal
-		if st.req.StartBy.IsZero() || (!givenUp && now.Before(st.req.StartBy)) {
+		late := now.Add(time.Duration(refuseWaitShare * float64(wait))).After(st.req.StartBy)
+		refuseNow := late && !s.settings.NoRefusal
+		if st.req.StartBy.IsZero() || (!refuseNow && now.Before(st.req.StartBy)) {
 			i++
 			continue
 		}
 		retry := min(max(wait, minRetryAfter), maxRetryAfter)
-		s.act(Refuse, st, "no start in time")
+		s.addAction(Refuse, st, "no start in time")
 		s.actions[len(s.actions)-1].retryAt = now.Add(retry)
 		s.Drop(st.req.ID)
 	}
--- a/internal/decision/lengths.go
+++ b/internal/decision/lengths.go
@@ -2,35 +2,33 @@
 
 import "math"
 
-// binsPerOctave sets how finely output lengths are told apart: two bins for
-// each doubling.
+// binsPerOctave sets the resolution of output lengths: two bins for each doubling.
 const (
 	binsPerOctave = 2
 	maxOctaves    = 17
 	binCount      = binsPerOctave * maxOctaves
 )
 
-// priorExposure is the weight of the prior in each bin, in streams. The prior
-// is a hazard under which half of the streams that reach n tokens reach 2n.
+// priorExposure is the weight of the prior in each bin, in streams. The prior is a hazard under
+// which half of the streams that reach n tokens reach 2n.
 const priorExposure = 4.0
 
-// halfLife is the number of finished streams after which an observation
-// counts half.
+// halfLife is the number of finished streams after which the weight of an observation has
+// halved.
 const halfLife = 2000.0
 
-// Lengths is an online estimate of how many output tokens a generation will
-// have: a survival curve over bins of geometrically growing width. Running
-// streams count as exposure while they run, so long streams that have not
-// ended yet are not overlooked.
+// Lengths is an online estimate of the number of output tokens of a generation: a survival
+// curve over bins of geometrically growing width. Running streams count as exposure, so that
+// long streams that have not ended yet are included.
 type Lengths struct {
 	exposure [binCount]float64
 	ended    [binCount]float64
-	// logSurvival[i] is the log of the probability to get past bins 0..i-1.
+	// logSurvival[i] is the log of the probability that a stream gets past bins 0..i-1.
 	logSurvival [binCount + 1]float64
 	scale       float64
 }
 
-// NewLengths returns an estimate that knows only the prior.
+// NewLengths returns an estimate that is based on the prior alone.
 func NewLengths() *Lengths {
 	l := &Lengths{scale: 1}
 	l.refresh()
@@ -53,15 +51,15 @@
 	return s
 }()
 
-// holdsTokens reports whether a whole number lies in a bin; narrow bins at the
-// start hold none, and no stream can end there.
+// holdsTokens reports whether a bin contains a whole number. Narrow bins at the start contain
+// none, and no stream can end in them.
 func holdsTokens(bin int) bool { return math.Ceil(binStart[bin]) < binStart[bin+1] }
 
-// entered notes that a stream reached the bin of output token n.
-func (l *Lengths) entered(bin int) { l.exposure[bin] += l.scale }
+// recordEntered records that a stream reached a bin.
+func (l *Lengths) recordEntered(bin int) { l.exposure[bin] += l.scale }
 
-// finished notes that a stream ended in bin. Older observations fade.
-func (l *Lengths) finished(bin int) {
+// recordEnded records that a stream ended in a bin. The weight of older observations decays.
+func (l *Lengths) recordEnded(bin int) {
 	l.ended[bin] += l.scale
 	l.scale *= math.Exp2(1 / halfLife)
 	if l.scale > 1e6 {
--- a/internal/decision/rates.go
+++ b/internal/decision/rates.go
@@ -5,71 +5,72 @@
 	"time"
 )
 
-// shares keeps start-time fair queueing over client accounts: each request
-// gets a virtual start time, and an account that had much gets a later one.
-type shares struct {
-	virtual float64
-	spent   map[string]float64
+// fairQueue implements start-time fair queueing over client accounts. Each request gets a
+// virtual start time, its start tag; the more an account has been charged, the later its next
+// start tag.
+type fairQueue struct {
+	virtualTime float64
+	// finishTags holds, by account, the virtual time up to which it has been charged.
+	finishTags map[string]float64
 }
 
-func newShares() shares { return shares{spent: map[string]float64{}} }
+func newFairQueue() fairQueue { return fairQueue{finishTags: map[string]float64{}} }
 
 const (
-	assumedTokens = 200.0
-	// fairGrain is how many tokens over weight an account may be ahead of
-	// another before the order of arrival gives way to fairness. A finer grain
-	// makes some wait long and others not at all, and more give up.
-	fairGrain = 2000.0
+	assumedCostTokens = 200.0
+	// fairnessBucketTokens is how many tokens over weight an account may be ahead of another
+	// before fairness overrides the order of arrival. With smaller buckets some requests wait
+	// long and others not at all, and more callers give up.
+	fairnessBucketTokens = 2000.0
 )
 
-// turn is the coarse virtual start time by which the queue is ordered.
-func turn(virtual float64) float64 { return math.Floor(virtual / fairGrain) }
+// fairnessBucket returns the number of the bucket of a start tag. The queue is ordered by it.
+func fairnessBucket(virtual float64) float64 { return math.Floor(virtual / fairnessBucketTokens) }
 
-func (s *shares) arrive(account string, weight float64) float64 {
-	v := max(s.virtual, s.spent[account])
-	s.spent[account] = v + assumedTokens/weight
+func (s *fairQueue) arrive(account string, weight float64) float64 {
+	v := max(s.virtualTime, s.finishTags[account])
+	s.finishTags[account] = v + assumedCostTokens/weight
 	return v
 }
 
-func (s *shares) start(virtual float64) { s.virtual = max(s.virtual, virtual) }
+func (s *fairQueue) start(virtual float64) { s.virtualTime = max(s.virtualTime, virtual) }
 
-// charge replaces the assumed cost of a request by its real one, in tokens.
-func (s *shares) charge(account string, weight float64, tokens int) {
-	s.spent[account] += (float64(tokens) - assumedTokens) / weight
-	if s.spent[account] <= s.virtual && len(s.spent) > maxIdleAccounts {
-		delete(s.spent, account)
+// charge replaces the assumed cost of a request by its actual cost in tokens.
+func (s *fairQueue) charge(account string, weight float64, tokens int) {
+	s.finishTags[account] += (float64(tokens) - assumedCostTokens) / weight
+	if s.finishTags[account] <= s.virtualTime && len(s.finishTags) > maxIdleAccounts {
+		delete(s.finishTags, account)
 	}
 }
 
 const maxIdleAccounts = 4096
 
-// stepModel learns how the time of a decode step grows with the batch: a
-// least-squares line with fading memory. While the batch hardly changes the line
-// cannot be told from noise; then the last good slope is kept and only the
-// line's height follows.
+// stepModel estimates how the time of a decode step grows with the batch: a least-squares line
+// over samples that decay. While the batch hardly changes, the slope cannot be told from noise;
+// then the last good slope is kept and only the offset of the line follows the samples.
 type stepModel struct {
 	n, x, y, xx, xy float64
 	slope           float64
 }
 
 const (
-	stepFade       = 0.995
+	stepDecay      = 0.995
 	minStepSamples = 20
-	// minBatchSpread is the standard deviation of the batch, relative to its
-	// mean, from which the slope can be told.
+	// minBatchSpread is the standard deviation of the batch, relative to its mean, from which
+	// on the slope is estimated.
 	minBatchSpread = 0.1
 	noLimit        = math.MaxInt32
 )
 
-// Step notes that a decode step with the given number of streams took d.
+// Step records that a decode step with the given number of streams took d.
 func (s *Scheduler) Step(batch int, d time.Duration) { s.steps.add(float64(batch), d.Seconds()) }
 
 func (m *stepModel) add(x, y float64) {
-	m.n = m.n*stepFade + 1
-	m.x = m.x*stepFade + x
-	m.y = m.y*stepFade + y
-	m.xx = m.xx*stepFade + x*x
-	m.xy = m.xy*stepFade + x*y
+	m.n = m.n*stepDecay + 1
+	m.x = m.x*stepDecay + x
+	m.y = m.y*stepDecay + y
+	m.xx = m.xx*stepDecay + x*x
+	m.xy = m.xy*stepDecay + x*y
 	spread := m.n*m.xx - m.x*m.x
 	if m.n < minStepSamples || spread < minBatchSpread*minBatchSpread*m.x*m.x {
 		return
@@ -87,29 +88,28 @@
 	return max(1, int((m.x+(gap.Seconds()*m.n-m.y)/m.slope)/m.n))
 }
 
-// startRate estimates how soon a place in the queue comes up, from the starts
-// while there was a backlog. Starts without a backlog tell how fast requests
-// came, not how fast they could have been served.
+// startRate estimates the wait for a position in the queue from the starts while there was a
+// backlog. Starts without a backlog tell how fast requests arrived, not how fast they could
+// have been served.
 type startRate struct {
-	last   time.Time
-	busy   float64
-	starts float64
+	last           time.Time
+	backlogSeconds float64
+	starts         float64
 }
 
 const (
-	// startFade is the time, in seconds of backlog, after which a start counts
-	// about a third.
-	startFade = 20
-	// minBacklog is the backlog in seconds before anything is said.
-	minBacklog = 2
+	// startDecaySeconds is the time of backlog after which a start counts about a third (1/e).
+	startDecaySeconds = 20
+	// minBacklogSeconds is the time of backlog below which no wait is estimated.
+	minBacklogSeconds = 2
 )
 
-// observe takes the time since the last call into account.
+// observe accounts for the time since the last call.
 func (r *startRate) observe(now time.Time, backlog bool) {
 	if backlog && !r.last.IsZero() {
 		d := now.Sub(r.last).Seconds()
-		fade := math.Exp(-d / startFade)
-		r.busy = r.busy*fade + d
+		fade := math.Exp(-d / startDecaySeconds)
+		r.backlogSeconds = r.backlogSeconds*fade + d
 		r.starts *= fade
 	}
 	r.last = now
@@ -117,12 +117,12 @@
 
 func (r *startRate) started() { r.starts++ }
 
-// wait returns the expected time until the given place in the queue starts.
-func (r *startRate) wait(place int) time.Duration {
-	if r.busy < minBacklog {
+// wait returns the expected time until the request at a position in the queue starts.
+func (r *startRate) wait(position int) time.Duration {
+	if r.backlogSeconds < minBacklogSeconds {
 		return 0
 	}
-	return time.Duration(float64(place) * r.busy / (r.starts + 1) * float64(time.Second))
+	return time.Duration(float64(position) * r.backlogSeconds / (r.starts + 1) * float64(time.Second))
 }
 
 // Wait returns the expected time until a request that arrives now starts.
--- a/internal/decision/scheduler.go
+++ b/internal/decision/scheduler.go
@@ -1,7 +1,9 @@
-// Package decision says, for one engine, who goes, who waits, who is refused
-// and who gives way while the lengths of the answers are unknown. It has no
-// clock, network or goroutines of its own: the caller tells it what happened
-// and acts on what Decide returns.
+// Package decision schedules the generations of one engine while the lengths of their answers
+// are unknown: it decides which requests start, wait or are refused, and which streams are
+// paused when memory runs short. internal/sidecar calls it for a live engine, internal/bench
+// compares it with other policies, and internal/ctl explains policies with it. It has no clock,
+// network or goroutines of its own: the caller reports what happened and carries out what
+// Decide returns.
 package decision
 
 import (
@@ -10,7 +12,7 @@
 	"time"
 )
 
-// Kind says what is to be done with a generation.
+// Kind is the kind of an action.
 type Kind int
 
 // The kinds of actions.
@@ -26,7 +28,7 @@
 	return [...]string{"none", "admit", "refuse", "pause", "resume"}[k]
 }
 
-// Action is one decision about one generation.
+// Action is a decision about one generation.
 type Action struct {
 	kind    Kind
 	id      string
@@ -34,27 +36,27 @@
 	retryAt time.Time
 }
 
-// Kind returns what is to be done.
+// Kind returns the kind of the action.
 func (a Action) Kind() Kind { return a.kind }
 
-// ID returns the generation it is about.
+// ID returns the ID of the generation.
 func (a Action) ID() string { return a.id }
 
-// Reason returns why, in a word or two.
+// Reason returns the reason in a word or two.
 func (a Action) Reason() string { return a.reason }
 
-// RetryAt returns, for a refusal, when the caller may come back.
+// RetryAt returns when the caller of a refused generation may retry.
 func (a Action) RetryAt() time.Time { return a.retryAt }
 
-// Request is what is known of a generation on arrival.
+// Request describes a generation on arrival.
 type Request struct {
 	// ID is unique among the generations the scheduler holds.
 	ID string
-	// Account is the client account that pays.
+	// Account is the client account that is charged.
 	Account string
-	// Weight is the account's share; 0 counts as 1.
+	// Weight is the weight of the account in fair queueing; 0 counts as 1.
 	Weight float64
-	// Class names the length curve; it comes from the policy.
+	// Class names the estimate of lengths that applies; it comes from the policy.
 	Class string
 	// Rank orders the queue, lower first; it comes from the policy.
 	Rank float64
@@ -62,35 +64,37 @@
 	GiveWay float64
 	// Prompt is the number of prompt tokens.
 	Prompt int
-	// MaxTokens is the caller's own bound on output tokens; 0 means none.
+	// MaxTokens is the limit on output tokens that the caller set; 0 means none.
 	MaxTokens int
-	// StartBy is the latest time at which a start is of use.
+	// StartBy is the latest time at which a start is useful; zero means no limit.
 	StartBy time.Time
 }
 
-// Settings are the fixed numbers of one engine and the switches by which the
-// bench takes single parts of the decision out.
+// Settings describe one engine and hold the switches with which the benchmark disables single
+// parts of the decision.
 type Settings struct {
 	// Blocks is the engine's KV capacity in blocks.
 	Blocks int
 	// BlockTokens is the number of tokens a block holds.
 	BlockTokens int
-	// MaxBatch bounds the running streams; 0 means the engine has no bound.
+	// MaxBatch limits the number of running streams; 0 means no limit.
 	MaxBatch int
-	// TokenGap is the wanted time between tokens; 0 turns the batch limit off.
+	// TokenGap is the target time between tokens; 0 turns the batch limit that follows from it
+	// off.
 	TokenGap time.Duration
-	// Risk is the number of standard deviations of memory growth that must
-	// fit before one more stream is admitted.
+	// Risk is the number of standard deviations of the forecast memory use that must fit,
+	// beyond its mean, before one more stream is admitted.
 	Risk float64
 	// NoFairness orders the queue by arrival alone within a rank.
 	NoFairness bool
-	// NoVictimChoice makes the newest stream give way.
+	// NoVictimChoice pauses the newest stream instead of the cheapest one to pause.
 	NoVictimChoice bool
-	// NoRefusal lets hopeless requests wait until StartBy has passed.
+	// NoRefusal refuses requests only once StartBy has passed, even if they cannot start in
+	// time.
 	NoRefusal bool
 }
 
-// DefaultRisk is the risk setting chosen on the tuning seeds of the bench; see
+// DefaultRisk is the value of Settings.Risk chosen on the tuning seeds of the benchmark; see
 // docs/DECISIONS.md, decision 8.
 const DefaultRisk = 2.5
 
@@ -112,12 +116,13 @@
 	since     time.Time
 	pauses    int
 	lengths   *Lengths
-	virtual   float64
+	startTag  float64
 }
 
 func (s *stream) tokens() int { return s.req.Prompt + s.generated }
 
-// charged returns the tokens the account pays for: none if it never ran.
+// charged returns the number of tokens that the account is charged for: 0 if the request never
+// ran.
 func (s *stream) charged() int {
 	if s.state == waiting {
 		return 0
@@ -125,7 +130,7 @@
 	return s.tokens()
 }
 
-// Scheduler holds the state of one engine.
+// Scheduler schedules the generations of one engine. It is not safe for concurrent use.
 type Scheduler struct {
 	settings Settings
 	now      func() time.Time
@@ -138,26 +143,26 @@
 
 	used    int
 	bias    float64
-	history [historySize]reading
+	history [historySize]usageSample
 	histPos int
 
-	lengths map[string]*Lengths
-	shares  shares
-	steps   stepModel
-	rate    startRate
-	backlog bool
-	actions []Action
+	lengths   map[string]*Lengths
+	fairQueue fairQueue
+	steps     stepModel
+	rate      startRate
+	backlog   bool
+	actions   []Action
 }
 
 // New returns a Scheduler for an engine. now is read on every call that needs
 // the time.
 func New(settings Settings, now func() time.Time) *Scheduler {
 	return &Scheduler{
-		settings: settings,
-		now:      now,
-		streams:  map[string]*stream{},
-		lengths:  map[string]*Lengths{},
-		shares:   newShares(),
+		settings:  settings,
+		now:       now,
+		streams:   map[string]*stream{},
+		lengths:   map[string]*Lengths{},
+		fairQueue: newFairQueue(),
 	}
 }
 
@@ -167,11 +172,11 @@
 // Waiting returns the number of queued requests.
 func (s *Scheduler) Waiting() int { return len(s.waiting) }
 
-// Paused returns the number of streams that gave way.
+// Paused returns the number of paused streams.
 func (s *Scheduler) Paused() int { return len(s.paused) }
 
-// Used returns the blocks believed to be in use, with the correction learned
-// from the engine's own reports.
+// Used returns the number of blocks in use: the scheduler's own count, corrected by the reports
+// of the engine.
 func (s *Scheduler) Used() int { return max(0, s.used+int(math.Round(s.bias))) }
 
 // Arrive queues a request.
@@ -183,13 +188,13 @@
 		r.GiveWay = 1
 	}
 	s.order++
-	st := &stream{req: r, arrived: s.now(), order: s.order, lengths: s.curve(r.Class)}
-	st.virtual = s.shares.arrive(r.Account, r.Weight)
+	st := &stream{req: r, arrived: s.now(), order: s.order, lengths: s.lengthsFor(r.Class)}
+	st.startTag = s.fairQueue.arrive(r.Account, r.Weight)
 	s.streams[r.ID] = st
 	s.waiting = append(s.waiting, st)
 }
 
-func (s *Scheduler) curve(class string) *Lengths {
+func (s *Scheduler) lengthsFor(class string) *Lengths {
 	l, ok := s.lengths[class]
 	if !ok {
 		l = NewLengths()
@@ -198,7 +203,7 @@
 	return l
 }
 
-// Token notes one output token of a generation.
+// Token records one output token of a generation.
 func (s *Scheduler) Token(id string) {
 	st, ok := s.streams[id]
 	if !ok {
@@ -211,30 +216,31 @@
 	}
 	if b := binOf(st.generated); b != st.bin || st.generated == 1 {
 		st.bin = b
-		st.lengths.entered(b)
+		st.lengths.recordEntered(b)
 	}
 }
 
-// Finish notes that a generation ended by itself.
+// Finish records that a generation ended by itself, and removes it.
 func (s *Scheduler) Finish(id string) {
 	if st, ok := s.streams[id]; ok && st.generated > 0 {
-		st.lengths.finished(st.bin)
+		st.lengths.recordEnded(st.bin)
 	}
 	s.Drop(id)
 }
 
-// Drop forgets a generation that was cancelled or refused.
+// Drop removes a generation and settles what its account is charged, for instance after a
+// cancellation or a refusal.
 func (s *Scheduler) Drop(id string) {
 	st, ok := s.streams[id]
 	if !ok {
 		return
 	}
-	s.leave(st)
+	s.removeFromList(st)
 	delete(s.streams, id)
-	s.shares.charge(st.req.Account, st.req.Weight, st.charged())
+	s.fairQueue.charge(st.req.Account, st.req.Weight, st.charged())
 }
 
-func (s *Scheduler) leave(st *stream) {
+func (s *Scheduler) removeFromList(st *stream) {
 	is := func(o *stream) bool { return o == st }
 	switch st.state {
 	case waiting:
@@ -247,8 +253,8 @@
 	}
 }
 
-func (s *Scheduler) enter(st *stream, to state) {
-	s.leave(st)
+func (s *Scheduler) moveTo(st *stream, to state) {
+	s.removeFromList(st)
 	st.state = to
 	st.since = s.now()
 	switch to {
@@ -264,18 +270,18 @@
 	return (tokens + s.settings.BlockTokens - 1) / s.settings.BlockTokens
 }
 
-// Decide returns what to do now, in order. The slice is valid until the next
+// Decide returns the actions to carry out now, in order. The slice is valid until the next
 // call.
 func (s *Scheduler) Decide() []Action {
 	s.actions = s.actions[:0]
-	s.remember()
-	s.giveWay()
+	s.recordUsage()
+	s.pauseForMemory()
 	s.resume()
 	s.admit()
 	s.refuse()
 	return s.actions
 }
 
-func (s *Scheduler) act(k Kind, st *stream, reason string) {
+func (s *Scheduler) addAction(k Kind, st *stream, reason string) {
 	s.actions = append(s.actions, Action{kind: k, id: st.req.ID, reason: reason})
 }
--- a/internal/decision/scheduler_test.go
+++ b/internal/decision/scheduler_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// clock is a clock in the test's hands.
+// clock is a clock that a test sets.
 type clock struct{ t time.Time }
 
 func (c *clock) now() time.Time { return c.t }
 
-func newTest(blocks int) (*Scheduler, *clock) {
+func newTestScheduler(blocks int) (*Scheduler, *clock) {
 	c := &clock{t: time.Unix(1000, 0)}
 	return New(Settings{Blocks: blocks, BlockTokens: 16, Risk: 2.5}, c.now), c
 }
@@ -28,11 +28,11 @@
 	return out
 }
 
-// TestLedgerMatchesACountFromScratch drives random events and compares the
-// incremental ledger with a fresh sum, and the lists with each other.
-func TestLedgerMatchesACountFromScratch(t *testing.T) {
+// TestUsedBlocksMatchARecount runs random events and compares the incremental count of blocks
+// in use with a recount, and the lists of streams with each other.
+func TestUsedBlocksMatchARecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, c := newTest(rapid.IntRange(20, 200).Draw(t, "blocks"))
+		s, c := newTestScheduler(rapid.IntRange(20, 200).Draw(t, "blocks"))
 		next := 0
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			c.t = c.t.Add(10 * time.Millisecond)
@@ -59,11 +59,11 @@
 			for _, st := range s.running {
 				used += s.blocks(st.tokens())
 				if st.state != running {
-					t.Fatalf("stream %s among the running is %d", st.req.ID, st.state)
+					t.Fatalf("stream %s among the running has state %d", st.req.ID, st.state)
 				}
 			}
 			if used != s.used {
-				t.Fatalf("ledger %d, count %d", s.used, used)
+				t.Fatalf("%d blocks in use, recount %d", s.used, used)
 			}
 			if len(s.running)+len(s.waiting)+len(s.paused) != len(s.streams) {
 				t.Fatal("a stream is in no list or in two")
@@ -75,6 +75,8 @@
 	})
 }
 
+// TestLengthsLearnAMixture checks the survival curve for a mixture of many short and few long
+// answers.
 func TestLengthsLearnAMixture(t *testing.T) {
 	l := NewLengths()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -90,18 +92,18 @@
 		}
 		for bin, last := 0, -1; bin <= binOf(n); bin++ {
 			if bin != last {
-				l.entered(bin)
+				l.recordEntered(bin)
 				last = bin
 			}
 		}
-		l.finished(binOf(n))
+		l.recordEnded(binOf(n))
 	}
 	truth := float64(over) / streams
 	if got := l.Survive(1, 499); math.Abs(got-truth) > 0.05 {
 		t.Errorf("P(500 or more) = %.3f, of the sample %.3f", got, truth)
 	}
 	if got := l.Survive(300, 200); got < 0.8 {
-		t.Errorf("P(500 or more, given 300) = %.3f: a long one is not told from a short one", got)
+		t.Errorf("P(500 or more, given 300) = %.3f: long answers are not told from short ones", got)
 	}
 	for k := 1; k < 5000; k += 7 {
 		if l.Survive(10, k+7) > l.Survive(10, k) {
@@ -110,8 +112,11 @@
 	}
 }
 
-func TestReportsCorrectTheLedger(t *testing.T) {
-	s, c := newTest(1000)
+// TestReportsCorrectUsedBlocks checks that the count follows reports of the engine, and that a
+// report about a time before the history, which has no sample to compare with, does not change
+// it.
+func TestReportsCorrectUsedBlocks(t *testing.T) {
+	s, c := newTestScheduler(1000)
 	s.Arrive(Request{ID: "a", Prompt: 1600})
 	s.Decide()
 	for range 20 {
@@ -121,23 +126,24 @@
 		s.Report(150, at)
 	}
 	if got := s.Used(); got < 148 || got > 152 {
-		t.Errorf("believes %d blocks in use, the engine reports 150", got)
+		t.Errorf("%d blocks in use, the engine reports 150", got)
 	}
 	before := s.Used()
 	s.Report(900, c.t.Add(-time.Hour))
 	if s.Used() != before {
-		t.Error("a report older than the history was believed")
+		t.Error("a report older than the history changed the count")
 	}
 }
 
-func TestWhoGivesWay(t *testing.T) {
+// TestWhichStreamIsPaused checks the choice of the stream to pause when memory runs short.
+func TestWhichStreamIsPaused(t *testing.T) {
 	grow := func(s *Scheduler, id string, n int) {
 		for range n {
 			s.Token(id)
 		}
 	}
-	t.Run("the one whose policy says so", func(t *testing.T) {
-		s, _ := newTest(200)
+	t.Run("the stream that the policy makes cheaper to pause", func(t *testing.T) {
+		s, _ := newTestScheduler(200)
 		s.Arrive(Request{ID: "dictation", Prompt: 800, GiveWay: 20})
 		s.Arrive(Request{ID: "summary", Prompt: 800, GiveWay: 1})
 		s.Decide()
@@ -147,8 +153,8 @@
 			t.Errorf("actions %v", got)
 		}
 	})
-	t.Run("not the same one over and over", func(t *testing.T) {
-		s, c := newTest(140)
+	t.Run("not the same stream over and over", func(t *testing.T) {
+		s, c := newTestScheduler(140)
 		s.Arrive(Request{ID: "a", Prompt: 100})
 		s.Arrive(Request{ID: "b", Prompt: 100})
 		s.Decide()
@@ -164,7 +170,7 @@
 				if st.generated < 1700 {
 					s.Token(st.req.ID)
 					st.generated += 9
-					s.used = s.usedFromScratch()
+					s.used = s.recountUsed()
 				}
 			}
 		}
@@ -174,7 +180,7 @@
 	})
 }
 
-func (s *Scheduler) usedFromScratch() int {
+func (s *Scheduler) recountUsed() int {
 	used := 0
 	for _, st := range s.running {
 		used += s.blocks(st.tokens())
@@ -182,8 +188,10 @@
 	return used
 }
 
-func TestHopelessRequestIsRefusedAtOnceWithATime(t *testing.T) {
-	s, c := newTest(100)
+// TestRequestThatCannotStartInTimeIsRefused guards against requests that wait until StartBy
+// although the backlog already shows that they cannot start by then.
+func TestRequestThatCannotStartInTimeIsRefused(t *testing.T) {
+	s, c := newTestScheduler(100)
 	s.Arrive(Request{ID: "big", Prompt: 1500})
 	s.Decide()
 	for i := range 50 {
@@ -196,7 +204,7 @@
 			if a.Kind() == Refuse {
 				refused++
 				if wait := a.RetryAt().Sub(c.t); wait < minRetryAfter || wait > maxRetryAfter {
-					t.Fatalf("come back in %v", wait)
+					t.Fatalf("retry after %v", wait)
 				}
 			}
 		}
@@ -206,11 +214,11 @@
 	}
 }
 
-// TestLargeAccountCannotStarveSmallOnes lets one account send ten times as much
-// as each of nine others and looks at who starts first.
+// TestLargeAccountCannotStarveSmallOnes guards against an account that fills the queue: one
+// account sends ten times as much as each of nine others, before they do.
 func TestLargeAccountCannotStarveSmallOnes(t *testing.T) {
 	starts := func(fair bool) map[string]int {
-		s, c := newTest(400)
+		s, c := newTestScheduler(400)
 		s.settings.NoFairness = !fair
 		for i := range 200 {
 			s.Arrive(Request{ID: fmt.Sprint("large-", i), Account: "large", Prompt: 200})
@@ -249,8 +257,9 @@
 	}
 }
 
+// TestTokenAllocatesNothing guards against allocations on the path of each output token.
 func TestTokenAllocatesNothing(t *testing.T) {
-	s, _ := newTest(100_000)
+	s, _ := newTestScheduler(100_000)
 	s.Arrive(Request{ID: "a", Prompt: 100})
 	s.Decide()
 	if n := testing.AllocsPerRun(1000, func() { s.Token("a") }); n != 0 {
@@ -258,12 +267,11 @@
 	}
 }
 
-// BenchmarkDecide measures one decision with as many streams running as
-// waiting.
+// BenchmarkDecide measures one decision with as many streams running as waiting.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{8, 64, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, c := newTest(n * 20)
+			s, c := newTestScheduler(n * 20)
 			for i := range 2 * n {
 				s.Arrive(Request{ID: fmt.Sprint(i), Account: fmt.Sprint(i % 10), Prompt: 250, StartBy: c.t.Add(time.Hour)})
 			}
@@ -278,7 +286,7 @@
 }
 
 func BenchmarkToken(b *testing.B) {
-	s, _ := newTest(1 << 30)
+	s, _ := newTestScheduler(1 << 30)
 	s.Arrive(Request{ID: "a", Prompt: 100})
 	s.Decide()
 	b.ReportAllocs()
@@ -287,12 +295,11 @@
 	}
 }
 
-// TestLengthsLearnFromTokensAsTheyCome feeds the curve as the sidecar does.
-// Found by reading: a bin that holds no whole number of tokens never saw a
-// stream, kept the prior's hazard, and made every newcomer look 29 % more likely
-// to end at once.
-func TestLengthsLearnFromTokensAsTheyCome(t *testing.T) {
-	s, _ := newTest(1000)
+// TestLengthsSkipBinsWithoutTokens records one token at a time, as the sidecar does. No stream
+// can reach a bin that contains no whole number. If such bins kept the hazard of the prior,
+// each new stream would look 29 % more likely to end at once.
+func TestLengthsSkipBinsWithoutTokens(t *testing.T) {
+	s, _ := newTestScheduler(1000)
 	for i := range 1000 {
 		id := fmt.Sprint(i)
 		s.Arrive(Request{ID: id, Prompt: 10})
@@ -302,7 +309,7 @@
 		}
 		s.Finish(id)
 	}
-	if got := s.curve("").Survive(0, 90); got < 0.95 {
+	if got := s.lengthsFor("").Survive(0, 90); got < 0.95 {
 		t.Errorf("P(90 or more) = %.3f, all streams had 100", got)
 	}
 }
