--- a/internal/gateway/otherwriters_test.go
+++ b/internal/gateway/badrecord_test.go
@@ -10,13 +10,13 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// TestStreamOfAnEngineWhoseRowTurnsBad: it ends where it runs, and new ones go elsewhere
-// until the row is good again.
-func TestStreamOfAnEngineWhoseRowTurnsBad(t *testing.T) {
+// When the record of an engine becomes unreadable, its stream has to end where it runs. New
+// streams have to go to other engines until the record is readable again.
+func TestStreamOfAnEngineWhoseRecordBecomesUnreadable(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		full bool
-	}{{"in a change", false}, {"in a whole table", true}} {
+	}{{"in an update", false}, {"in a full list", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			a, b := f.addEngine("a"), f.addEngine("b")
@@ -45,19 +45,18 @@
 			}
 			f.leave(other.id)
 			if got := f.ask(pathStream); got.status == http.StatusOK {
-				t.Error("the engine with the bad row got a new stream")
+				t.Error("the engine with the unreadable record got a new stream")
 			}
 			f.fleet.Update(f.records, nil, true, time.Time{})
 			if got := f.ask(pathStream); got.status != http.StatusOK || source.runs() != 2 {
-				t.Errorf("good again: status %d, %d runs; want it used", got.status, source.runs())
+				t.Errorf("readable again: status %d, %d runs; want the engine used", got.status, source.runs())
 			}
 		})
 	}
 }
 
-// TestMoveDoesNotGoToABadRow: an engine that leaves finds no target in one whose row
-// cannot be read.
-func TestMoveDoesNotGoToABadRow(t *testing.T) {
+// An engine whose record is unreadable must not become the target of a move.
+func TestMoveAvoidsEngineWithUnreadableRecord(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.addEngine("a"), f.addEngine("b")
 	result := make(chan answer, 1)
@@ -69,13 +68,13 @@
 	f.fleet.UpdateAll(nil, []string{other.id}, nil, false, time.Time{})
 	f.leave(source.id)
 	if got := <-result; got.body != wholeStream() || other.runs() != 0 {
-		t.Errorf("%d runs at the other engine, %q; want it to end where it runs", other.runs(), got.body)
+		t.Errorf("%d runs at the other engine, %q; want the stream to end where it runs", other.runs(), got.body)
 	}
 }
 
-// TestServiceThatALaterTableNames: an upstream of a service that no table names gets
-// nothing, and is used as soon as one does.
-func TestServiceThatALaterTableNames(t *testing.T) {
+// An upstream whose service is not in the route table must get no requests, and has to be used as
+// soon as a later table names the service.
+func TestUpstreamOfServiceThatOnlyALaterTableNames(t *testing.T) {
 	f := newFixture(t)
 	later := f.add("later", "x", serveOK)
 	app := f.add("app", "y", serveOK)
@@ -93,6 +92,6 @@
 	f.routes.Apply(platform.Snapshot{Records: []platform.Record{{Name: "routes", Value: []byte("2 later")}}}, false)
 	f.routes.ConfirmCurrent(time.Now())
 	if got := f.ask(pathLater); got.status != http.StatusOK || later.runs() != 1 {
-		t.Errorf("named: status %d, %d runs", got.status, later.runs())
+		t.Errorf("service in the table: status %d, %d runs; want 200 and 1", got.status, later.runs())
 	}
 }
--- a/internal/gateway/starts_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -12,7 +12,7 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// record returns the record of an upstream of a test.
+// record returns the record of an upstream that the test has added.
 func (f *fixture) record(name string) fleet.Record {
 	f.t.Helper()
 	for _, r := range f.records {
@@ -24,7 +24,7 @@
 	return fleet.Record{}
 }
 
-// restart makes a start of an upstream known, by its own record, and returns it.
+// restart starts a new incarnation of an upstream by an update of its record, and returns it.
 func (f *fixture) restart(name string, born int64) fleet.Upstream {
 	f.t.Helper()
 	r := f.record(name)
@@ -35,23 +35,23 @@
 			return u
 		}
 	}
-	f.t.Fatalf("%s is not known after its start", name)
+	f.t.Fatalf("%s is not known after its restart", name)
 	return fleet.Upstream{}
 }
 
-// TestReportOfAnotherStart covers that a report counts only for the start that made it.
-func TestReportOfAnotherStart(t *testing.T) {
+// A report must apply only to the incarnation of the engine that made it.
+func TestReportOfAnotherIncarnation(t *testing.T) {
 	for _, tc := range []struct {
 		name, report string
 		born         int64
 		want         fleet.State
 		counts       bool
 	}{
-		{"the start that is asked", "leaving waiting born 200", 200, fleet.Leaving, true},
-		{"an earlier start", "leaving waiting born 100", 200, fleet.Serving, false},
-		{"a later start", "leaving waiting born 300", 200, fleet.Serving, false},
-		{"a report that tells of no birth", "leaving waiting", 200, fleet.Leaving, true},
-		{"a record that tells of no birth", "leaving waiting born 200", 0, fleet.Leaving, true},
+		{"the incarnation that was asked", "leaving waiting born 200", 200, fleet.Leaving, true},
+		{"an earlier incarnation", "leaving waiting born 100", 200, fleet.Serving, false},
+		{"a later incarnation", "leaving waiting born 300", 200, fleet.Serving, false},
+		{"a report without a start time", "leaving waiting", 200, fleet.Leaving, true},
+		{"a record without a start time", "leaving waiting born 200", 0, fleet.Leaving, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -59,7 +59,7 @@
 			u := f.restart("a", tc.born)
 			state, err := f.gateway.ask(t.Context(), u, "test")
 			if got := err == nil && state.Waiting == 1; got != tc.counts {
-				t.Errorf("%+v, %v; want that it counts: %v", state, err, tc.counts)
+				t.Errorf("%+v, %v; want the report applied: %v", state, err, tc.counts)
 			}
 			if u, _ = f.fleet.Get(u.ID); u.State() != tc.want {
 				t.Errorf("state %d, want %d", u.State(), tc.want)
@@ -68,7 +68,7 @@
 	}
 }
 
-// started asks for a generation and waits until the caller has some of it.
+// started requests a generation and waits until the caller has its first event.
 func (f *fixture) started(path string) chan answer {
 	f.t.Helper()
 	result := make(chan answer, 1)
@@ -78,7 +78,7 @@
 	return result
 }
 
-// begun is the number of generations that run and of which the caller has a part.
+// begun returns the number of running generations of which the caller has an event.
 func (f *fixture) begun() int {
 	f.gateway.mu.Lock()
 	defer f.gateway.mu.Unlock()
@@ -93,34 +93,34 @@
 	return n
 }
 
-// until waits for what must come true.
-func (f *fixture) until(what string, come func() bool) {
+// until waits until a condition is true.
+func (f *fixture) until(what string, condition func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(5 * time.Second); !come(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("not in time: %s", what)
+			f.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// TestStreamsOnAStartThatEnded covers a generation whose engine starts again under its
-// name: it is lost as by a crash, which tells nothing of the later start, and nothing is
-// moved away from that.
-func TestStreamsOnAStartThatEnded(t *testing.T) {
+// When an engine restarts under the same name, a generation of its earlier incarnation is lost as
+// in a crash. The later incarnation must not count as failing for that, and no generation may be
+// moved away from it.
+func TestStreamsOnAnEndedIncarnation(t *testing.T) {
 	for _, tc := range []struct {
 		name, path string
-		// breaks tells that the connections to the earlier start break, before or after
-		// the record of the later one comes.
+		// breaksBefore and breaksAfter are set if the connections to the earlier incarnation
+		// break, before or after the record of the later one arrives.
 		breaksBefore, breaksAfter bool
 		leaves                    bool
 		whole                     bool
 		runs                      int
 	}{
-		{"it breaks after the record of the later start", pathStream, false, true, false, false, 1},
-		{"it breaks before the record of the later start", pathStream, true, false, false, false, 1},
-		{"one that may be resumed goes on at the later start", pathResume, false, true, false, true, 2},
-		{"its connection holds", pathStream, false, false, false, true, 1},
-		{"the earlier start left", pathStream, false, false, true, true, 1},
+		{"the connection breaks after the record of the later incarnation", pathStream, false, true, false, false, 1},
+		{"the connection breaks before the record of the later incarnation", pathStream, true, false, false, false, 1},
+		{"a resumable stream resumes at the later incarnation", pathResume, false, true, false, true, 2},
+		{"the connection does not break", pathStream, false, false, false, true, 1},
+		{"the earlier incarnation was leaving", pathStream, false, false, true, true, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -137,7 +137,7 @@
 			}
 			later := f.restart("a", 2)
 			if load := f.gateway.ledger.total(later.ID); load != (gossip.Load{}) {
-				t.Errorf("the later start has the load %+v of the earlier one", load)
+				t.Errorf("the later incarnation has the load %+v of the earlier one", load)
 			}
 			if tc.breaksAfter {
 				e.crash()
@@ -151,15 +151,15 @@
 			}
 			later, known := f.fleet.Get(later.ID)
 			if !known || later.State() != fleet.Serving || later.AvoidUntil().After(time.Now()) {
-				t.Errorf("%+v, want the later start in use", later)
+				t.Errorf("%+v, want the later incarnation in use", later)
 			}
 		})
 	}
 }
 
-// TestNothingIsMovedFromAStartThatEnded covers an evacuation that is under way when its
-// engine starts again: the later start knows none of the generations.
-func TestNothingIsMovedFromAStartThatEnded(t *testing.T) {
+// An evacuation must end when its engine restarts: the later incarnation does not run the
+// generations that would be moved.
+func TestNothingIsMovedFromAnEndedIncarnation(t *testing.T) {
 	f := newFixture(t)
 	a := f.addEngine("a")
 	a.copies, a.pace, a.copyWait = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 20*time.Millisecond, make(chan struct{})
@@ -172,25 +172,25 @@
 	f.addEngine("b")
 	f.restart("a", 1)
 	f.fleet.MarkLeaving(earlier.ID, "test")
-	f.until("a copy is ordered", func() bool { return a.ordered() > 0 })
+	f.until("a copy command has arrived", func() bool { return a.ordered() > 0 })
 	f.restart("a", 2)
 	close(a.copyWait)
 	for _, result := range results {
 		if got := <-result; got.body != wholeStream() {
-			t.Errorf("%v, %q; want what the earlier start still sends", got.err, got.body)
+			t.Errorf("%v, %q; want every event, which the earlier incarnation still sends", got.err, got.body)
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.orders) != 1 {
-		t.Errorf("orders %v, want the one that was under way", a.orders)
+		t.Errorf("copy commands %v, want only the one that was in progress", a.orders)
 	}
 }
 
-// TestCopyUnderWayToAStartThatEnded covers a target that starts again while a memory is
-// copied to it: it holds nothing, so the generation is not stopped for that copy, and it
-// is not told to release what it may hold for others under the same handle.
-func TestCopyUnderWayToAStartThatEnded(t *testing.T) {
+// When the target of a copy restarts during the copy, the copy is lost. The generation must not be
+// stopped for it. The later incarnation must not be told to release it, because it may hold a copy
+// for another entry under the same handle.
+func TestCopyToAnEndedIncarnation(t *testing.T) {
 	f := newFixture(t)
 	a := f.addEngine("a")
 	a.copies = []protocol.CopyResult{{Handle: "h1"}, {Handle: "h2"}, {Handle: "h3"}}
@@ -202,35 +202,35 @@
 	f.restart("a", 1)
 	f.restart("b", 1)
 	f.fleet.MarkLeaving(from.ID, "test")
-	f.until("a copy is ordered", func() bool { return a.ordered() > 0 })
+	f.until("a copy command has arrived", func() bool { return a.ordered() > 0 })
 	f.restart("b", 2)
 	close(a.copyWait)
 	if got := <-result; got.err != nil || got.body != wholeStream() {
 		t.Errorf("%v, %q; want every event once", got.err, got.body)
 	}
 	if b.runs() != 1 || b.header(0).Get(testFrom) != "h2" {
-		t.Errorf("%d runs at the target, want one from the copy that the later start holds", b.runs())
+		t.Errorf("%d runs at the target, want one from the copy that the later incarnation holds", b.runs())
 	}
 	time.Sleep(20 * time.Millisecond)
-	// The copy that was not needed in the end is released.
+	// The copy that was not needed may be released.
 	if n := b.released(); n > 1 {
-		t.Errorf("%d copies released at the later start, want only its own", n)
+		t.Errorf("%d copies released at the later incarnation, want only its own", n)
 	}
 }
 
-// TestCopiesHeldAtAStartThatEnded covers copies that are complete when the engine that
-// holds them starts again: they are gone, and nobody asks the later start for them.
-func TestCopiesHeldAtAStartThatEnded(t *testing.T) {
+// Complete copies are lost when the engine that holds them restarts. The later incarnation must
+// not be asked to resume from them or to release them.
+func TestCopiesHeldByAnEndedIncarnation(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		// at are the engines that hold the first and the second copy.
 		at   [2]string
 		want string
 	}{
-		{"the first one", [2]string{"a", "b"}, "h2"},
-		{"the second one", [2]string{"b", "a"}, "h1"},
-		{"both", [2]string{"a", "a"}, ""},
-		{"none", [2]string{"b", "b"}, "h1"},
+		{"the first copy is lost", [2]string{"a", "b"}, "h2"},
+		{"the second copy is lost", [2]string{"b", "a"}, "h1"},
+		{"both copies are lost", [2]string{"a", "a"}, ""},
+		{"no copy is lost", [2]string{"b", "b"}, "h1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -243,27 +243,26 @@
 			f.restart("a", 2)
 			got, ok := s.takeCopy()
 			if ok != (tc.want != "") || got.copy.Handle != tc.want {
-				t.Errorf("goes on from %q (%v), want %q", got.copy.Handle, ok, tc.want)
+				t.Errorf("resumes from %q (%v), want %q", got.copy.Handle, ok, tc.want)
 			}
 			s.end()
 			time.Sleep(20 * time.Millisecond)
 			if n := a.released(); n != 0 {
-				t.Errorf("the later start is told %d times to release what it does not hold", n)
+				t.Errorf("the later incarnation got %d commands to release a copy that it does not hold", n)
 			}
 		})
 	}
 }
 
-// TestCallsAtAStartThatEnded covers plain calls that are in flight when their upstream
-// starts again at its address: they are lost as by a crash, and only those that may run
-// twice are sent to the later start.
-func TestCallsAtAStartThatEnded(t *testing.T) {
+// Plain calls that are in flight when their upstream restarts at the same address are lost as in
+// a crash. Only repeatable calls may be sent to the later incarnation.
+func TestCallsToAnEndedIncarnation(t *testing.T) {
 	for _, tc := range []struct {
 		name, path   string
 		status, runs int
 	}{
-		{"one that may run twice", pathSafe, http.StatusOK, 2},
-		{"one that may run once", pathOnce, http.StatusBadGateway, 1},
+		{"a repeatable call", pathSafe, http.StatusOK, 2},
+		{"a call that may run once", pathOnce, http.StatusBadGateway, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -289,18 +288,18 @@
 				t.Errorf("status %d after %d runs, want %d after %d", got.status, a.runs(), tc.status, tc.runs)
 			}
 			if u, _ := f.fleet.Get(later.ID); u.FailureRate() != 0 || u.AvoidUntil().After(time.Now()) {
-				t.Errorf("%+v, want that the break tells nothing of the later start", u)
+				t.Errorf("%+v, want no failure of the later incarnation from the broken connection", u)
 			}
 			if got := a.header(0).Get(testUpstream); got != "a" {
-				t.Errorf("the upstream is called %q on the wire, want its name", got)
+				t.Errorf("the upstream is named %q on the wire, want its name without the incarnation", got)
 			}
 		})
 	}
 }
 
-// What was sent to an earlier start, by this entry or another one, is neither load nor kept
-// memory of the later one, also if it is told late.
-func TestLoadAndPrefixesEndWithTheStart(t *testing.T) {
+// Requests that this or another entry sent to an earlier incarnation must count neither as load
+// nor as cached prompt parts of the later one, even if gossip about them arrives late.
+func TestLoadAndPrefixesEndWithTheIncarnation(t *testing.T) {
 	f := newFixture(t)
 	f.addEngine("a")
 	earlier := f.restart("a", 1)
@@ -312,9 +311,9 @@
 	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 9, Held: 90}})
 	c := f.gateway.candidates(f.fleet.Of("llm"), nil, time.Now())
 	if len(c) != 1 || c[0].ID != later.ID || c[0].Load != (gossip.Load{}) || c[0].Rate != 0 {
-		t.Errorf("candidates %+v, want the later start without load", c)
+		t.Errorf("candidates %+v, want the later incarnation without load", c)
 	}
 	if got := f.gateway.prefixes.kept(later.ID, shared, time.Now()); got != 0 {
-		t.Errorf("%d tokens are kept at the later start, want 0", got)
+		t.Errorf("%d tokens are cached at the later incarnation, want 0", got)
 	}
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -16,25 +16,27 @@
 )
 
 const (
-	// moveTargets bounds the engines that are tried for one generation. One without
-	// room refuses within some 10 ms, of the 1.5 s that an engine has to leave.
+	// moveTargets bounds the target engines that are tried for one generation. An engine
+	// without room refuses within about 10 ms, and a leaving engine has 1.5 s.
 	moveTargets = 6
-	// copyWithin bounds one order to copy; engines are given up to a few seconds
-	// of notice, so a longer copy comes too late.
+	// copyWithin bounds one copy command. Engines stop at most a few seconds after the
+	// notice that they leave, so a longer copy completes too late.
 	copyWithin = 4 * time.Second
-	// orderPause is the wait before an order is repeated that found another one
-	// under way.
+	// orderPause is the wait before a copy command is repeated because the engine was
+	// still executing another one.
 	orderPause = 30 * time.Millisecond
-	// copyTakes is about the time from the order until a copy is complete, behind those
-	// of other streams: a quarter of 188 orders on engines with some six streams each took
-	// less than 0.24 s, half less than 0.47 s. What ends sooner is not worth an order, and a
-	// copy that comes too late takes memory of its target for nobody.
+	// copyTakes approximates the time from a copy command until the copy is complete,
+	// including the wait behind copies of other streams. Of 188 commands on engines with
+	// about six streams each, a quarter took less than 0.24 s and half less than 0.47 s. A
+	// generation that ends sooner is not moved, because a copy that completes too late
+	// occupies memory of its target for nothing.
 	copyTakes = 400 * time.Millisecond
-	// maxOrderAnswer bounds in bytes the answer to an order.
+	// maxOrderAnswer bounds in bytes an engine's answer to a command or a state query.
 	maxOrderAnswer = 64 << 10
 )
 
-// register makes a stream known at an engine, for moves.
+// register adds a stream to those that Evacuate moves from an engine. The value false
+// marks it as not yet tried.
 func (g *Gateway) register(s *stream, upstream string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -53,16 +55,16 @@
 	}
 }
 
-// startedAt is called when a stream's first event came: if its engine leaves
-// already, it has to be moved.
+// startedAt is called at the first event of a stream. If its engine is already leaving,
+// startedAt starts an evacuation, since earlier ones skipped a stream without events.
 func (g *Gateway) startedAt(s *stream) {
 	if u, ok := g.fleet.Get(s.at.ID); ok && u.State() == fleet.Leaving {
 		g.Evacuate(u.ID)
 	}
 }
 
-// Evacuate moves the generations that run at an engine to others. Engines copy
-// one memory after another, so this entry orders one copy at a time from each.
+// Evacuate moves the generations of this entry that run at an engine to other engines. An
+// engine executes one copy at a time, so this entry sends it one copy command at a time.
 func (g *Gateway) Evacuate(upstream string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,9 +85,10 @@
 	}
 }
 
-// nextToMove returns the stream at an engine that has made most, and marks it;
-// nil ends the evacuation. What a stream has made is lost with it, and the longer
-// one runs, the longer it can be expected to become.
+// nextToMove returns the stream at an engine with the most events among those that are
+// movable and not yet tried, and marks it as tried. If there is none, it ends the
+// evacuation and returns nil. The longest stream goes first because it has the most output
+// to lose and, the longer it has run, the longer it is expected to go on.
 func (g *Gateway) nextToMove(upstream string) *stream {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -103,34 +106,34 @@
 	return next
 }
 
-// movable reports whether the generation has begun, its engine can move it, and it is
-// not sure to end before a copy would be complete.
+// movable reports whether the generation has produced an event, its engine supports
+// moves, and it is not certain to end before a copy would be complete.
 func (s *stream) movable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.events > 0 && s.rq.service.Engine.Moves && !s.endsWithin(copyTakes)
 }
 
-// endsWithin reports whether the generation is sure to end within a time, by the most
-// output that the caller allows. It needs the lock of s.
+// endsWithin reports whether the generation is certain to end within d, given the maximum
+// output that the caller allows. s.mu must be held.
 func (s *stream) endsWithin(d time.Duration) bool {
-	most := s.rq.call.MaxOutput
-	if most <= 0 {
+	maxTokens := s.rq.call.MaxOutput
+	if maxTokens <= 0 {
 		return false
 	}
-	each := s.rq.service.Engine.EventTokens
-	return s.g.pace.rest(most-s.events*each, each) < d
+	eventTokens := s.rq.service.Engine.EventTokens
+	return s.g.pace.rest(maxTokens-s.events*eventTokens, eventTokens) < d
 }
 
-// made is the number of events that the caller has.
+// made returns the number of events that the caller has received.
 func (s *stream) made() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.events
 }
 
-// move copies a generation's memory to another engine while it runs, then stops
-// it. The relay goes on at the copy when the answer breaks off.
+// move copies the memory of a running generation to another engine and then stops the
+// generation. When its answer breaks off, the relay resumes the generation from the copy.
 func (g *Gateway) move(s *stream) {
 	s.mu.Lock()
 	from := s.at
@@ -143,8 +146,8 @@
 			return
 		}
 		exclude[target.ID] = true
-		again := g.moveTo(s, from, target)
-		if !again {
+		tryNext := g.moveTo(s, from, target)
+		if !tryNext {
 			return
 		}
 	}
@@ -157,8 +160,8 @@
 	g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "why", why)
 }
 
-// rest is what the generation asks of an engine that takes it over: what it holds
-// and the output that is still expected.
+// rest returns what the generation requires of a target engine: room for the tokens that it
+// holds now and for the output that is still expected.
 func (s *stream) rest() *placement.Generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,8 +169,9 @@
 	return &placement.Generation{Engine: engine, Prompt: held, Output: max(s.need()-held, engine.EventTokens), Repeats: true}
 }
 
-// moveTo moves a generation to one engine; again asks for another target.
-func (g *Gateway) moveTo(s *stream, from, target fleet.Upstream) (again bool) {
+// moveTo moves a generation to one engine. It returns true if another target should be
+// tried.
+func (g *Gateway) moveTo(s *stream, from, target fleet.Upstream) (tryNext bool) {
 	s.mu.Lock()
 	load := gossip.Load{Running: 1, Tokens: s.need(), Held: s.held()}
 	s.mu.Unlock()
@@ -205,10 +209,10 @@
 	return false
 }
 
-// stopRun stops a generation of which a first copy is complete. The relay does
-// not wait for the rest to be copied: that waits behind the copies that other
-// entries ordered, while the target reads the few missing tokens anew at once.
-// The second copy is there in case the first one is refused.
+// stopRun stops a generation whose first copy is complete, with a second copy command that
+// includes the tokens since then. The relay resumes from the first copy without waiting for
+// the second, which queues behind copies for other entries: the target can recompute the few
+// missing tokens at once. The second copy serves if the target refuses the first.
 func (g *Gateway) stopRun(s *stream, done chan struct{}, from, target fleet.Upstream) {
 	r := g.orderCopy(s, from, target, true)
 	switch r.Outcome {
@@ -216,7 +220,7 @@
 		g.met.moved("moved")
 		s.stopped(done, from, r.Handle, target)
 	case protocol.NoRoom:
-		// The engine has stopped the generation and keeps its memory.
+		// The engine has stopped the generation and still holds its memory.
 		g.met.moved("no room for the rest")
 		s.stopped(done, from, r.Handle, from)
 	case protocol.NoSuchRun:
@@ -226,8 +230,9 @@
 	}
 }
 
-// prepareStop notes that the generation is about to be stopped and where its
-// first copy is. It fails when the relay has moved on meanwhile.
+// prepareStop records the first copy of the generation and that the generation is about to
+// be stopped. It returns false if the request has ended, the generation runs at another
+// engine, or a stop is already in progress. done is to be closed when the stop has ended.
 func (s *stream) prepareStop(from fleet.Upstream, handle string, target fleet.Upstream) (done chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,9 +244,9 @@
 	return s.handover, true
 }
 
-// stopped notes how stopping the generation ended. A handle names the copy that
-// holds everything; it serves if the relay cannot go on from the first, and is given up
-// if it has.
+// stopped records the copy that was made when the generation was stopped and that holds all
+// of its memory; an empty handle means that there is none. The relay uses this copy if it
+// cannot resume from the first one. If the relay has already resumed, the copy is released.
 func (s *stream) stopped(done chan struct{}, from fleet.Upstream, handle string, at fleet.Upstream) {
 	if handle == "" {
 		return
@@ -258,14 +263,14 @@
 	}
 }
 
-// releaseWithin bounds the order to release a copy; an engine drops it by itself a
-// few seconds later.
+// releaseWithin bounds the command to release a copy. Without the command, the engine drops
+// the copy after a few seconds.
 const releaseWithin = time.Second
 
-// release gives up a copy that nobody will use: until then it takes memory and a
-// slot of its engine. One that went with its engine's start is left alone: the next start
-// may hold another copy under that name.
-func (g *Gateway) release(call string, held heldCopy) {
+// release tells an engine to drop a copy that will not be used, which occupies memory and a
+// slot there. If the engine's incarnation has ended, the copy is gone and nothing is sent: the
+// next incarnation may hold another copy under the same handle.
+func (g *Gateway) release(callID string, held heldCopy) {
 	if !g.there(held.at.ID) {
 		return
 	}
@@ -275,43 +280,45 @@
 		defer cancel()
 		a, err := g.exchange(ctx, held.at, g.proto.Release(held.copy.Handle))
 		if err != nil {
-			g.rec.Note(events.CopyNotReleased, call, "at", held.at.ID, "error", err)
+			g.rec.Note(events.CopyNotReleased, callID, "at", held.at.ID, "error", err)
 			return
 		}
 		defer a.Close()
 		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxOrderAnswer)); err != nil {
-			g.rec.Note(events.CopyNotReleased, call, "at", held.at.ID, "error", err)
+			g.rec.Note(events.CopyNotReleased, callID, "at", held.at.ID, "error", err)
 		}
 	}()
 }
 
-// there reports whether a start of an engine is not known to have ended. What an earlier
-// start ran and held is gone, and the next one may have its address.
+// there reports whether an incarnation of an upstream (the time from one start of its process
+// to the next) is not known to have ended. All that an ended incarnation ran and held is lost,
+// and the next one may have its address.
 func (g *Gateway) there(upstream string) bool {
 	_, ok := g.fleet.Get(upstream)
 	return ok
 }
 
-// orderCopy orders one copy and waits for it, also when the request ends meanwhile: only
-// the answer names the copy, and one that cannot be released takes memory of its target
-// for some 7 s. On a day on which a sixth of the engines leave every 3.3 s, such copies
-// held 0.36 to 0.56 million tokens x seconds of an engine pool of 21 million.
-func (g *Gateway) orderCopy(s *stream, from, target fleet.Upstream, last bool) protocol.CopyResult {
+// orderCopy sends a copy command and waits for its result, even if the request ends
+// meanwhile: only the answer names the copy, and a copy that cannot be released occupies
+// memory of its target for about 7 s. When a sixth of the engines leave every 3.3 s, such
+// copies occupy 0.36 to 0.56 million token-seconds of an engine pool of 21 million. With stop
+// set, the command also stops the generation.
+func (g *Gateway) orderCopy(s *stream, from, target fleet.Upstream, stop bool) protocol.CopyResult {
 	ctx, cancel := context.WithTimeout(context.Background(), copyWithin)
 	defer cancel()
 	for {
 		if !g.there(from.ID) {
-			// The generation is lost with its engine's start. The next start may run it
-			// anew, and must not be told to stop it.
+			// The generation was lost with its engine's incarnation. The next incarnation
+			// may run it again and must not be told to stop it.
 			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
 		}
-		r, err := g.order(ctx, from, g.proto.Copy(s.rq.call.ID, target.Address, last))
+		r, err := g.order(ctx, from, g.proto.Copy(s.rq.call.ID, target.Address, stop))
 		if s.rq.caller.Err() != nil && (err != nil || r.Outcome != protocol.Copied) {
-			// The request is over; so is the generation.
+			// The generation ends with its request.
 			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
 		}
 		if err != nil {
-			g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "to", target.ID, "last", last, "error", err)
+			g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "to", target.ID, "last", stop, "error", err)
 			return protocol.CopyResult{Outcome: protocol.CopyFailed}
 		}
 		if r.Outcome != protocol.CopyUnderWay {
@@ -325,7 +332,7 @@
 	}
 }
 
-var errOrderAnswer = errors.New("answer to an order is too long")
+var errOrderAnswer = errors.New("answer to a copy command is too long")
 
 func (g *Gateway) order(ctx context.Context, at fleet.Upstream, req link.Request) (protocol.CopyResult, error) {
 	a, err := g.exchange(ctx, at, req)
@@ -343,7 +350,7 @@
 	return g.proto.CopyResult(a.Status, body), nil
 }
 
-// Streams returns the engines at which streams of this entry run.
+// Streams returns the engines that run streams of this entry, sorted.
 func (g *Gateway) Streams() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/move_test.go
+++ b/internal/gateway/move_test.go
@@ -8,8 +8,9 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// A generation that ends while its memory is copied leaves a copy behind, which holds
-// memory of its target until the answer to the order names it and it is released.
+// A generation that ends while its memory is being copied leaves a copy behind, which occupies
+// memory of its target. Only the answer to the copy command names the copy, so the gateway has
+// to wait for that answer to release the copy.
 func TestCopyThatOutlastsItsGenerationIsReleased(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.addEngine("a"), f.addEngine("b")
@@ -27,7 +28,7 @@
 	if got := <-result; got.err != nil || got.body != wholeStream() {
 		t.Fatalf("%v, %q; want every event once", got.err, got.body)
 	}
-	// For so long the link waits for an answer whatever becomes of the request.
+	// A command that was cancelled with its request would be given up by the link by now.
 	time.Sleep(2 * testHeadWithin)
 	close(source.copyWait)
 	deadline := time.Now().Add(5 * time.Second)
@@ -39,24 +40,24 @@
 	}
 }
 
-// TestMovable covers which generations are worth an order to copy.
+// TestMovable covers which generations are worth a copy command.
 func TestMovable(t *testing.T) {
 	f := newFixture(t)
 	for _, tc := range []struct {
 		name               string
-		most, events       int
+		maxOutput, events  int
 		withoutMoves, want bool
 	}{
-		{"a long one that has begun", 1000, 3, false, true},
-		{"one that has not begun", 1000, 0, false, false},
-		{"a brief one", 32, 1, false, false},
-		{"a long one near its bound", 1000, 245, false, false},
-		{"one without a bound", 0, 3, false, true},
-		{"an engine that cannot move it", 1000, 3, true, false},
+		{"a long generation that has begun", 1000, 3, false, true},
+		{"a generation that has not begun", 1000, 0, false, false},
+		{"a short generation", 32, 1, false, false},
+		{"a long generation near its maximum output", 1000, 245, false, false},
+		{"a generation without a maximum output", 0, 3, false, true},
+		{"an engine that does not support moves", 1000, 3, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			service := &routetable.Service{Name: "llm", Engine: &routetable.Engine{EventTokens: 4, Moves: !tc.withoutMoves}}
-			s := &stream{g: f.gateway, events: tc.events, rq: &request{call: protocol.Call{MaxOutput: tc.most}, service: service}}
+			s := &stream{g: f.gateway, events: tc.events, rq: &request{call: protocol.Call{MaxOutput: tc.maxOutput}, service: service}}
 			if got := s.movable(); got != tc.want {
 				t.Errorf("movable %v, want %v", got, tc.want)
 			}
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,9 +10,9 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// exchange sends one request to an upstream and takes over what the head of its answer says of
-// the upstream itself. All that this entry sends to upstreams goes through it, so no use of an
-// answer can pass over what it says.
+// exchange sends one request to an upstream and applies what the headers of the answer state
+// about the upstream itself: that it leaves, asks for back-off or limits its request rate. All
+// requests of this entry to upstreams go through exchange, so that none of this is missed.
 func (g *Gateway) exchange(ctx context.Context, to fleet.Upstream, req link.Request) (*link.Answer, error) {
 	a, err := g.link.Do(ctx, to.Address, req)
 	if err != nil {
@@ -22,19 +22,20 @@
 		g.heardNotice(req.ID, to, n)
 	}
 	if req.ID == "" {
-		// What an answer to a caller's request says of a limit counts once it is known whose it is.
+		// For a caller's request, heardLimit applies the limit once the answer is known to
+		// belong to that request.
 		g.heardLimitNamed("", to, a.Header)
 	}
 	return a, nil
 }
 
-// heardNotice takes over what an answer says of its upstream; call is empty for an answer to a
-// question or order of this entry.
-func (g *Gateway) heardNotice(call string, from fleet.Upstream, n protocol.Notice) {
+// heardNotice applies the notice in an answer of an upstream. callID is the ID of the
+// caller's request; it is empty for the answer to a query or command of this entry.
+func (g *Gateway) heardNotice(callID string, from fleet.Upstream, n protocol.Notice) {
 	u, known := g.fleet.Get(from.ID)
-	g.rec.Note(events.UpstreamNotice, call, "upstream", from.ID, "leaving", n.Leaving, "back-off", max(n.BackOffUntil.Sub(g.now()), 0), "known", !known || u.State() == fleet.Leaving)
+	g.rec.Note(events.UpstreamNotice, callID, "upstream", from.ID, "leaving", n.Leaving, "back-off", max(n.BackOffUntil.Sub(g.now()), 0), "known", !known || u.State() == fleet.Leaving)
 	if n.Leaving && g.fleet.AnsweredLeaving(from.ID) {
-		// The others send it their next requests until they know.
+		// The other entries send requests to the upstream until gossip tells them.
 		g.others.Urge()
 	}
 	if !n.BackOffUntil.IsZero() {
@@ -42,12 +43,12 @@
 	}
 }
 
-// asksBackOff reports whether an answer says that its upstream wants no requests for a time.
+// asksBackOff reports whether an answer asks for back-off from its upstream.
 func (g *Gateway) asksBackOff(status int, header http.Header) bool {
 	return !g.proto.Notice(status, header, g.now()).BackOffUntil.IsZero()
 }
 
-// takesWork reports whether an upstream that was chosen still takes work.
+// takesWork reports whether an upstream is known, not leaving and not in back-off.
 func (g *Gateway) takesWork(id string) bool {
 	u, known := g.fleet.Get(id)
 	return known && u.State() != fleet.Leaving && !u.InBackOff(g.now())
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -14,7 +14,8 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// answeringAs answers as another handler does, with headers set before.
+// answeringAs returns a handler that sets headers, given as name and value pairs, and then calls
+// serve.
 func answeringAs(serve http.HandlerFunc, header ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for i := 0; i+1 < len(header); i += 2 {
@@ -24,23 +25,23 @@
 	}
 }
 
-// serveUnable does not say whether the request ran.
+// serveUnable answers with 503 and does not state whether the request ran.
 func serveUnable(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// An upstream that said in an answer that it leaves went on getting requests until the store or a
-// report told of the leave.
-func TestUpstreamThatSaidItLeavesGetsNoRequests(t *testing.T) {
+// An upstream that announces in an answer that it leaves must get no further requests. The store
+// and the reports of the upstream announce the same, but later.
+func TestUpstreamThatAnnouncesLeavingGetsNoRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		path   string
 		answer http.HandlerFunc
 	}{
-		{"in a good answer", pathOnce, serveOK},
+		{"in a successful answer", pathOnce, serveOK},
 		{"in a failure", pathOnce, serveError},
 		{"in a refusal", pathOnce, serveNotRun},
-		{"in an answer without proof", pathOnce, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }},
+		{"in an answer without proof of completeness", pathOnce, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }},
 		{"in an answer that breaks off", pathSafe, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = w.Write([]byte("ok"))
@@ -50,109 +51,112 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			leaves := f.add("app", "leaves", answeringAs(tc.answer, testLeaving, "1"))
-			f.add("app", "stays", serveOK)
-			for leaves.runs() == 0 {
+			leaving := f.add("app", "leaving", answeringAs(tc.answer, testLeaving, "1"))
+			f.add("app", "staying", serveOK)
+			for leaving.runs() == 0 {
 				f.ask(tc.path)
 			}
 			for range 60 {
 				f.ask(tc.path)
 			}
-			if n := leaves.runs(); n != 1 {
-				t.Errorf("it got %d requests, want none after its answer", n)
+			if n := leaving.runs(); n != 1 {
+				t.Errorf("the leaving upstream got %d requests, want 1", n)
 			}
-			if known := f.fleet.KnownLeaving(); len(known) != 1 || known[0] != "leaves" {
-				t.Errorf("other entries are told of %v, want of the one that leaves", known)
+			if known := f.fleet.KnownLeaving(); len(known) != 1 || known[0] != "leaving" {
+				t.Errorf("other entries are told that %v leave, want only the leaving upstream", known)
 			}
 		})
 	}
 }
 
-// The same of an engine: its stream tells it at the head, seconds before its end.
-func TestEngineThatSaidItLeavesAtTheHeadOfAStream(t *testing.T) {
+// An engine that announces in the head of a streamed answer that it leaves must get no further
+// generations, although that answer ends seconds later.
+func TestEngineThatAnnouncesLeavingGetsNoGenerations(t *testing.T) {
 	f := newFixture(t)
-	leaves := &engine{stopped: make(chan struct{}), pace: 20 * time.Millisecond, copies: []protocol.CopyResult{{Outcome: protocol.NoRoom}}}
-	leaves.upstream = f.add("llm", "leaves", answeringAs(leaves.serve, testLeaving, "1"))
-	f.addEngine("stays")
+	leaving := &engine{stopped: make(chan struct{}), pace: 20 * time.Millisecond, copies: []protocol.CopyResult{{Outcome: protocol.NoRoom}}}
+	leaving.upstream = f.add("llm", "leaving", answeringAs(leaving.serve, testLeaving, "1"))
+	f.addEngine("staying")
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for leaves.runs() == 0 {
+		for leaving.runs() == 0 {
 			f.ask(pathStream)
 		}
 	}()
-	for leaves.runs() == 0 {
+	for leaving.runs() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(50 * time.Millisecond)
-	before := leaves.runs()
+	before := leaving.runs()
 	var asks sync.WaitGroup
 	for range 8 {
 		asks.Go(func() { f.ask(pathStream) })
 	}
 	asks.Wait()
-	if n := leaves.runs() - before; n != 0 {
-		t.Errorf("it got %d generations after the head of its answer, want none", n)
+	if n := leaving.runs() - before; n != 0 {
+		t.Errorf("the leaving engine got %d generations after the head of its answer, want none", n)
 	}
 	<-done
 }
 
-// An upstream that asked for a time of rest got requests 2 s later at the latest, and all that came
-// once it had answered one of them.
-func TestUpstreamThatAskedForRestGetsNoRequests(t *testing.T) {
-	const rest = 2600 * time.Millisecond
+// An upstream in back-off must get no requests until the back-off ends. The back-off here is longer
+// than the 2 s for which an upstream that refuses requests is otherwise avoided at most; after
+// those, one successful answer would bring all requests back to it.
+func TestUpstreamInBackOffGetsNoRequests(t *testing.T) {
+	const backOff = 2600 * time.Millisecond
 	for _, tc := range []struct {
 		name   string
 		answer http.HandlerFunc
 	}{
 		{"in a refusal", serveNotRun},
-		{"in a 503 that says nothing of the request", serveUnable},
+		{"in a 503 that does not state whether the request ran", serveUnable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t)
-			var turned atomic.Int64
-			rests := f.add("app", "rests", func(w http.ResponseWriter, r *http.Request) {
-				if turned.Add(1) == 1 {
+			var requests atomic.Int64
+			backedOff := f.add("app", "backed-off", func(w http.ResponseWriter, r *http.Request) {
+				if requests.Add(1) == 1 {
 					answeringAs(tc.answer, testBack, "2600")(w, r)
 					return
 				}
 				serveOK(w, r)
 			})
-			f.add("app", "works", serveOK)
-			for rests.runs() == 0 {
+			f.add("app", "working", serveOK)
+			for backedOff.runs() == 0 {
 				f.ask(pathOnce)
 			}
 			asked := time.Now()
-			for time.Since(asked) < rest-100*time.Millisecond {
+			for time.Since(asked) < backOff-100*time.Millisecond {
 				if got := f.ask(pathOnce); got.status != http.StatusOK {
-					t.Fatalf("status %d, want 200 of the other one", got.status)
+					t.Fatalf("status %d, want 200 from the other upstream", got.status)
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
-			if n := rests.runs() - 1; n != 0 {
-				t.Errorf("it got %d requests while it rested, want none", n)
+			if n := backedOff.runs() - 1; n != 0 {
+				t.Errorf("the upstream got %d requests during its back-off, want none", n)
 			}
-			for time.Since(asked) < rest+time.Second {
+			for time.Since(asked) < backOff+time.Second {
 				f.ask(pathOnce)
 				time.Sleep(5 * time.Millisecond)
 			}
-			if rests.runs() == 1 {
-				t.Error("it gets no work within a second of the end of its rest")
+			if backedOff.runs() == 1 {
+				t.Error("the upstream got no request within a second after its back-off")
 			}
 		})
 	}
 }
 
-// While all upstreams of a service rested, a request went to the one that was avoided least.
-func TestAllUpstreamsRest(t *testing.T) {
+// While all upstreams of a service are in back-off, none of them may get requests. Callers are
+// refused at once and told to retry after the first back-off has ended, spread over time.
+func TestAllUpstreamsInBackOff(t *testing.T) {
 	f := newFixture(t)
-	var list []*upstream
+	var upstreams []*upstream
 	for _, u := range []struct{ id, back string }{{"a", "1500"}, {"b", "2500"}} {
-		list = append(list, f.add("app", u.id, answeringAs(serveNotRun, testBack, u.back)))
+		upstreams = append(upstreams, f.add("app", u.id, answeringAs(serveNotRun, testBack, u.back)))
 	}
 	first := time.Now()
-	for list[0].runs() == 0 || list[1].runs() == 0 {
+	for upstreams[0].runs() == 0 || upstreams[1].runs() == 0 {
 		f.ask(pathOnce)
 	}
 	asked := time.Now()
@@ -164,53 +168,53 @@
 		}
 		ms, err := strconv.Atoi(got.header.Get(testBack))
 		back := begun.Add(time.Duration(ms) * time.Millisecond)
-		// Times are cut to ms.
+		// The header states whole milliseconds, rounded down.
 		if least, most := first.Add(1500*time.Millisecond), asked.Add(1600*time.Millisecond+placement.ReturnWithin); err != nil || back.Before(least.Add(-100*time.Millisecond)) || back.After(most) {
-			t.Fatalf("come back %s after the first rest ends, want at its end, one after another", back.Sub(least))
+			t.Fatalf("retry is due %s after the first back-off, want it spread from its end on", back.Sub(least))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for _, u := range list {
+	for _, u := range upstreams {
 		if n := u.runs(); n > 2 {
-			t.Errorf("%s got %d requests while it rested", u.id, n-1)
+			t.Errorf("%s got %d requests during its back-off, want at most 1", u.id, n-1)
 		}
 	}
 }
 
-// A row that was written before the answer, or read late, brought an upstream back that an entry
-// knew only from another one to leave.
-func TestRowFromBeforeTheLeaveBringsNothingBack(t *testing.T) {
+// An upstream that another entry reported as leaving must stay leaving when its record is read
+// that was written before it announced that.
+func TestStaleRecordDoesNotUndoLeaving(t *testing.T) {
 	f := newFixture(t)
-	leaves := f.add("app", "leaves", serveOK)
-	f.add("app", "stays", serveOK)
-	f.fleet.PeerLeaving("other entry", []string{"leaves"})
+	leaving := f.add("app", "leaving", serveOK)
+	f.add("app", "staying", serveOK)
+	f.fleet.PeerLeaving("other entry", []string{"leaving"})
 	f.fleet.Update(f.records, nil, true, time.Time{})
 	for range 20 {
 		f.ask(pathOnce)
 	}
-	if n := leaves.runs(); n != 0 {
-		t.Errorf("it got %d requests, want none", n)
+	if n := leaving.runs(); n != 0 {
+		t.Errorf("the leaving upstream got %d requests, want none", n)
 	}
-	if u, _ := f.fleet.Get("leaves"); u.State() != fleet.Leaving {
-		t.Error("it does not count as leaving")
+	if u, _ := f.fleet.Get("leaving"); u.State() != fleet.Leaving {
+		t.Error("the upstream does not count as leaving")
 	}
 }
 
-// The same of an engine, whose generations are chosen for otherwise, while others work and while it
-// is the only one.
-func TestEngineThatAskedForRestGetsNoGenerations(t *testing.T) {
+// An engine in back-off must get no generations; engines are chosen by other code than plain
+// upstreams. Generations go to another engine, or are refused at once if there is none.
+func TestEngineInBackOffGetsNoGenerations(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		other bool
 		want  int
-	}{{"beside another one", true, http.StatusOK}, {"alone", false, http.StatusServiceUnavailable}} {
+	}{{"with another engine", true, http.StatusOK}, {"as the only engine", false, http.StatusServiceUnavailable}} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			rests := f.add("llm", "rests", answeringAs(serveNotRun, testBack, "1500"))
+			backedOff := f.add("llm", "backed-off", answeringAs(serveNotRun, testBack, "1500"))
 			if tc.other {
-				f.addEngine("works")
+				f.addEngine("working")
 			}
-			for rests.runs() == 0 {
+			for backedOff.runs() == 0 {
 				f.ask(pathStream)
 			}
 			asked := time.Now()
@@ -221,22 +225,22 @@
 					t.Fatalf("status %d, want %d", got.status, tc.want)
 				}
 				if took := time.Since(begun); !tc.other && (took > 100*time.Millisecond || got.header.Get(testBack) == "") {
-					t.Fatalf("refused after %s with %q to come back, want within 100 ms with a time", took, got.header.Get(testBack))
+					t.Fatalf("refused after %s with retry delay %q, want within 100 ms and with a delay", took, got.header.Get(testBack))
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			if n := rests.runs() - 1; n != 0 {
-				t.Errorf("it got %d generations while it rested, want none", n)
+			if n := backedOff.runs() - 1; n != 0 {
+				t.Errorf("the engine got %d generations during its back-off, want none", n)
 			}
 		})
 	}
 }
 
-// A slow request was sent to an upstream that rested as well.
-func TestNoHedgeToAnUpstreamThatRests(t *testing.T) {
+// The hedge of a slow request must not go to an upstream in back-off.
+func TestUpstreamInBackOffGetsNoHedge(t *testing.T) {
 	f := newFixture(t)
-	rests := f.add("app", "rests", answeringAs(serveNotRun, testBack, "2000"))
-	for rests.runs() == 0 {
+	backedOff := f.add("app", "backed-off", answeringAs(serveNotRun, testBack, "2000"))
+	for backedOff.runs() == 0 {
 		f.ask(pathSafe)
 	}
 	f.add("app", "slow", func(w http.ResponseWriter, r *http.Request) {
@@ -248,18 +252,19 @@
 			t.Fatalf("status %d, want 200", got.status)
 		}
 	}
-	if n := rests.runs(); n != 1 {
-		t.Errorf("it got %d requests, want none while it rests", n-1)
+	if n := backedOff.runs(); n != 1 {
+		t.Errorf("the upstream got %d requests during its back-off, want none", n-1)
 	}
 }
 
-// A good answer that was under way when the upstream asked for rest ended the rest.
-func TestAnswerUnderWayEndsNoRest(t *testing.T) {
+// A successful answer to a request that was in flight when the upstream asked for back-off must
+// not end the back-off.
+func TestAnswerInFlightDoesNotEndBackOff(t *testing.T) {
 	f := newFixture(t)
-	var turns atomic.Int64
+	var requests atomic.Int64
 	held := make(chan struct{})
-	rests := f.add("app", "rests", func(w http.ResponseWriter, r *http.Request) {
-		switch turns.Add(1) {
+	backedOff := f.add("app", "backed-off", func(w http.ResponseWriter, r *http.Request) {
+		switch requests.Add(1) {
 		case 1:
 			<-held
 			serveOK(w, r)
@@ -271,7 +276,7 @@
 	})
 	var first sync.WaitGroup
 	first.Go(func() { f.ask(pathOnce) })
-	for rests.runs() == 0 {
+	for backedOff.runs() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	f.ask(pathOnce)
@@ -280,33 +285,33 @@
 	for range 20 {
 		f.ask(pathOnce)
 	}
-	if n := rests.runs(); n != 2 {
-		t.Errorf("it got %d requests while it rested, want none", n-2)
+	if n := backedOff.runs(); n != 2 {
+		t.Errorf("the upstream got %d requests during its back-off, want none", n-2)
 	}
 }
 
-// What an engine says in its answer to an order to give up a copy was passed over.
-func TestAnswerToAReleaseSaysWhatTheEngineTakes(t *testing.T) {
+// The rate limit and the leaving notice in an engine's answer to a release command must be applied.
+func TestNoticesInAnswerToReleaseAreApplied(t *testing.T) {
 	f := newFixture(t)
-	f.add("llm", "holds", answeringAs(func(http.ResponseWriter, *http.Request) {}, testLimit, "2", testLeaving, "1"))
-	u, _ := f.fleet.Get("holds")
+	f.add("llm", "engine", answeringAs(func(http.ResponseWriter, *http.Request) {}, testLimit, "2", testLeaving, "1"))
+	u, _ := f.fleet.Get("engine")
 	f.gateway.release("r", heldCopy{copy: protocol.Copy{Handle: "h"}, at: u})
 	for begun := time.Now(); !f.gateway.limits.Any() || len(f.fleet.KnownLeaving()) == 0; time.Sleep(time.Millisecond) {
 		if time.Since(begun) > 5*time.Second {
-			t.Fatalf("limit known: %v; leaving %v", f.gateway.limits.Any(), f.fleet.KnownLeaving())
+			t.Fatalf("limit known: %v; leaving engines: %v", f.gateway.limits.Any(), f.fleet.KnownLeaving())
 		}
 	}
 }
 
-// A second try that lost was given up before its answer had come, so that its upstream's asking for
-// rest, or its leave, was heard by nobody.
-func TestAnswerOfATryThatLostIsHeard(t *testing.T) {
+// An attempt whose request is answered by another attempt, or whose caller disconnects, must not be
+// abandoned before its answer arrives: the answer may ask for back-off or announce leaving.
+func TestNoticeInAnswerOfLosingAttemptIsApplied(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		leave func(f *fixture, r *http.Request)
+		name   string
+		change func(f *fixture, r *http.Request)
 	}{
-		{"a hedge", func(*fixture, *http.Request) {}},
-		{"of a caller who left", func(_ *fixture, r *http.Request) {
+		{"another attempt is answered first", func(*fixture, *http.Request) {}},
+		{"the caller disconnects", func(_ *fixture, r *http.Request) {
 			ctx, cancel := context.WithTimeout(r.Context(), 55*time.Millisecond)
 			t.Cleanup(cancel)
 			*r = *r.WithContext(ctx)
@@ -314,27 +319,27 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			both := make(chan struct{}, 2)
-			// Whoever is asked first takes its time; the other one asks for rest a little later than the
-			// first answer comes.
+			secondBegun := make(chan struct{}, 2)
+			// The upstream that gets the first attempt answers after the second attempt has begun. The
+			// other upstream asks for back-off a little later.
 			var first atomic.Bool
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				if !first.Swap(true) {
-					<-both
+					<-secondBegun
 					time.Sleep(10 * time.Millisecond)
 					serveOK(w, r)
 					return
 				}
-				both <- struct{}{}
+				secondBegun <- struct{}{}
 				time.Sleep(25 * time.Millisecond)
 				answeringAs(serveNotRun, testBack, "2000")(w, r)
 			}
 			f.add("app", "a", serve)
 			f.add("app", "b", serve)
-			f.ask(pathSafe, func(r *http.Request) { tc.leave(f, r) })
+			f.ask(pathSafe, func(r *http.Request) { tc.change(f, r) })
 			for begun := time.Now(); !f.fleet.AnyBackOff(); time.Sleep(time.Millisecond) {
 				if time.Since(begun) > time.Second {
-					t.Fatal("nobody heard that the upstream wants rest")
+					t.Fatal("the back-off that the upstream asked for was not applied")
 				}
 			}
 		})
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// pacePrior is the time between two events until streams have shown it, from the
-	// engines' stated step time of about 8 ms a token with four tokens in an event.
+	// pacePrior is the assumed time between two events until streams have been measured. It
+	// follows from the engines' stated step time of about 8 ms per token and four tokens per
+	// event.
 	pacePrior = 35 * time.Millisecond
-	// paceWeight is the weight of a new stream beside those before it.
+	// paceWeight is the weight of a new sample in the moving averages.
 	paceWeight = 0.1
-	// paceMargin covers streams that are slower than the mean: events of one stream
-	// are up to a fifth further apart on average where prompts are read beside it.
+	// paceMargin covers streams that are slower than the mean: while an engine reads other
+	// prompts, the events of a stream are on average up to a fifth further apart.
 	paceMargin = 1.25
 )
 
-// pace learns how far apart the events of streams are.
+// pace estimates the time between two events of a stream.
 type pace struct {
 	mu    sync.Mutex
 	event time.Duration
 }
 
-// note takes over a whole stream: the time to its first event, to its end, and the
-// number of its events.
+// note adds a complete stream to the average: the time to its first event, its total time
+// and the number of its events.
 func (p *pace) note(first, total time.Duration, events int) {
 	if events < 2 {
 		return
@@ -34,8 +35,8 @@
 	p.event += time.Duration(paceWeight * float64((total-first)/time.Duration(events-1)-p.event))
 }
 
-// rest is the time that a stream of a number of tokens takes from its first event
-// to its end, with a margin.
+// rest returns the expected time from the first event to the end of a stream with a number
+// of tokens, including paceMargin.
 func (p *pace) rest(tokens, eventTokens int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,18 +44,19 @@
 	return time.Duration(paceMargin * float64(tokens) / float64(max(eventTokens, 1)) * float64(p.event))
 }
 
-// readPrior is the time to read a prompt token until generations have shown it, from
-// the engines' stated 14 tokens in a millisecond and as much for the steps between.
+// readPrior is the assumed time to read one prompt token until generations have been
+// measured. It follows from the engines' stated 14 tokens per millisecond, plus as much time
+// for the generation steps in between.
 const readPrior = 140 * time.Microsecond
 
-// reading learns how long an engine takes to the first event of a generation, by
-// the prompt tokens that it had to read until then.
+// reading estimates the time that an engine takes to read one prompt token, from the times
+// to the first events of generations and the tokens that had to be read before.
 type reading struct {
 	mu    sync.Mutex
 	token time.Duration
 }
 
-// note takes over the time to a first event after which a number of tokens was read.
+// note adds the time to a first event and the number of tokens read before it to the average.
 func (r *reading) note(first time.Duration, tokens int) {
 	if tokens < readLeast {
 		return
@@ -64,11 +66,11 @@
 	r.token = r.known() + time.Duration(paceWeight*float64(first/time.Duration(tokens)-r.known()))
 }
 
-// readLeast is the number of tokens under which a first event tells more of the
-// way to the engine than of reading.
+// readLeast is the number of tokens below which the time to a first event depends more on
+// the network than on reading.
 const readLeast = 256
 
-// expected is the time that reading a number of tokens takes.
+// expected returns the expected time to read a number of tokens.
 func (r *reading) expected(tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -12,28 +12,30 @@
 	"github.com/sparshore/sparshore/internal/placement"
 )
 
-// errLimited: each upstream that could take the request gets as much as it says it takes.
+// errLimited means that every upstream that could take the request has reached the rate limit
+// that it states.
 var errLimited = errors.New("the upstreams take no more requests now")
 
-// errBackOff: each upstream that could take the request asked to back off.
+// errBackOff means that every upstream that could take the request is in back-off.
 var errBackOff = fmt.Errorf("%w: they asked to back off", errLimited)
 
 const (
-	// permitShare is the part of a route's objective for which a request waits for a permit
-	// where no other upstream can take it: the answer still comes in time.
+	// permitShare is the fraction of a route's objective that a request may wait for a permit
+	// if no other upstream can take it. The answer still comes within the objective.
 	permitShare = 0.25
-	// permitPause is the least pause before a permit is asked for again.
+	// permitPause is the minimum wait before a permit is requested again.
 	permitPause = time.Millisecond
 )
 
-// chooser returns the upstream that is to get a request, without those excluded; the error
-// tells why there is none.
+// chooser returns the upstream for a request, none of those in exclude. The error states why
+// there is none.
 type chooser func(exclude map[string]bool) (fleet.Upstream, error)
 
 // permitted returns the upstream that choose returns, with a permit to send one request to it.
-// Limited upstreams that get as much as they take are passed over: they are no failing ones, and
-// are not to learn of what they refuse. So are those in back-off. If no other can take the request it waits until a time;
-// a zero time is for a request that cannot wait. The error is that of choose, or errLimited.
+// Upstreams that have reached their rate limit or are in back-off are skipped: they do not count
+// as failing, and they should not receive requests that they would refuse. If no other upstream
+// can take the request, permitted waits for one of these, at most until the given time; a zero
+// time is for a request that cannot wait. The error is that of choose, or errLimited.
 func (g *Gateway) permitted(ctx context.Context, service string, exclude map[string]bool, until time.Time, choose chooser) (fleet.Upstream, error) {
 	for {
 		u, err := g.permittedNow(ctx, service, exclude, choose)
@@ -47,7 +49,8 @@
 	}
 }
 
-// permittedNow is permitted without a wait, but for the answer of the entry that grants permits.
+// permittedNow is permitted without the wait; it still waits for the answer of the entry that
+// grants permits.
 func (g *Gateway) permittedNow(ctx context.Context, service string, exclude map[string]bool, choose chooser) (fleet.Upstream, error) {
 	if !g.limits.Any() {
 		u, err := choose(exclude)
@@ -56,12 +59,12 @@
 		}
 		return u, err
 	}
-	reached := g.limits.Closed()
+	skipped := g.limits.Closed()
 	for {
-		u, err := choose(union(exclude, reached))
+		u, err := choose(union(exclude, skipped))
 		if err != nil {
 			switch {
-			case g.anyOf(service, reached):
+			case g.anyOf(service, skipped):
 				err = errLimited
 			case g.allInBackOff(service, exclude):
 				err = errBackOff
@@ -76,12 +79,13 @@
 		case ctx.Err() != nil:
 			return fleet.Upstream{}, ctx.Err()
 		}
-		reached[u.ID] = true
+		skipped[u.ID] = true
 	}
 }
 
-// await waits for a permit for one upstream, and for the end of its back-off, until a time. Nothing
-// else can take the request, so it may use what is left to it during a back-off.
+// await waits for a permit for one upstream and for the end of its back-off, at most until the
+// given time. No other upstream can take the request, so await may use the one request that each
+// back-off allows.
 func (g *Gateway) await(ctx context.Context, upstream string, until time.Time) error {
 	for !g.fleet.TakeDuringBackOff(upstream) {
 		u, known := g.fleet.Get(upstream)
@@ -100,12 +104,13 @@
 	}
 }
 
-// waitsUntil is until when a request may wait for a permit.
+// waitsUntil returns the time until which a request may wait for a permit.
 func (rq *request) waitsUntil() time.Time {
 	return rq.start.Add(time.Duration(permitShare * float64(rq.route.Objective)))
 }
 
-// sleepUntil waits until a time; it returns false if ctx ends before.
+// sleepUntil waits until a time, and for permitPause at least. It returns false if ctx ends
+// first.
 func (g *Gateway) sleepUntil(ctx context.Context, at time.Time) bool {
 	t := time.NewTimer(max(at.Sub(g.now()), permitPause))
 	defer t.Stop()
@@ -117,7 +122,7 @@
 	}
 }
 
-// anyOf reports whether any upstream of a service is in a set.
+// anyOf reports whether a set contains an upstream of a service.
 func (g *Gateway) anyOf(service string, set map[string]bool) bool {
 	if len(set) == 0 {
 		return false
@@ -130,7 +135,8 @@
 	return false
 }
 
-// allInBackOff reports whether each upstream of a service that is not excluded is in back-off, and any is.
+// allInBackOff reports whether a service has upstreams that are not excluded and all of them are
+// in back-off.
 func (g *Gateway) allInBackOff(service string, exclude map[string]bool) bool {
 	if !g.fleet.AnyBackOff() {
 		return false
@@ -148,24 +154,24 @@
 	return found
 }
 
-// opensAt is when the first upstream of a service that is limited or in back-off, and is not excluded,
-// takes a request again.
+// opensAt returns the earliest time at which an upstream of a service takes a request again, among
+// those that are limited or in back-off and not excluded. It is zero if there is none.
 func (g *Gateway) opensAt(service string, exclude map[string]bool) time.Time {
-	var first time.Time
+	var earliest time.Time
 	for _, u := range g.fleet.Of(service) {
 		at := g.limits.OpensAt(u.ID)
 		if u.BackOffUntil().After(at) {
 			at = u.BackOffUntil()
 		}
-		if !exclude[u.ID] && !at.IsZero() && (first.IsZero() || at.Before(first)) {
-			first = at
+		if !exclude[u.ID] && !at.IsZero() && (earliest.IsZero() || at.Before(earliest)) {
+			earliest = at
 		}
 	}
-	return first
+	return earliest
 }
 
-// backAfterLimit is the time after which a caller should come back whose request no upstream
-// takes now: not before one does, and the later the more callers are refused.
+// backAfterLimit returns the retry delay for a caller whose request no upstream takes now. It lasts
+// at least until an upstream takes requests, and grows with the number of refused callers.
 func (g *Gateway) backAfterLimit(rq *request) time.Duration {
 	overload := g.backAfterOverload(rq)
 	opens := g.opensAt(rq.service.Name, nil)
@@ -175,8 +181,8 @@
 	return max(opens.Sub(g.now()), overload)
 }
 
-// unlimited adds to the upstreams that a request is not to be sent to all that named a limit:
-// for requests that are sent besides, and for those that cannot wait for a permit.
+// unlimited returns exclude with all upstreams added that state a rate limit. It is for hedges and
+// for requests that cannot wait for a permit.
 func (g *Gateway) unlimited(exclude map[string]bool) map[string]bool {
 	if !g.limits.Any() {
 		return exclude
@@ -184,15 +190,15 @@
 	return union(exclude, g.limits.Starts())
 }
 
-// admit chooses the engine for a new generation, with a permit.
+// admit chooses the engine for a new generation and takes a permit for it.
 func (s *stream) admit(ctx context.Context, exclude map[string]bool) (fleet.Upstream, error) {
 	return s.g.permitted(ctx, s.rq.service.Name, exclude, s.rq.waitsUntil(), func(exclude map[string]bool) (fleet.Upstream, error) {
 		return s.g.admitEngine(s, exclude)
 	})
 }
 
-// goOnAt chooses an engine for the rest of an answer, with a permit. The caller has the
-// beginning, so it may wait longer.
+// goOnAt chooses an engine for the rest of an answer and takes a permit for it. It may wait longer
+// than admit because the caller already has the beginning of the answer.
 func (s *stream) goOnAt(ctx context.Context, exclude map[string]bool) (fleet.Upstream, error) {
 	return s.g.permitted(ctx, s.rq.service.Name, exclude, s.g.now().Add(goOnWithin), func(exclude map[string]bool) (fleet.Upstream, error) {
 		u, ok := s.g.chooseEngine(s, exclude)
@@ -203,8 +209,7 @@
 	})
 }
 
-// union returns all that are in one of two sets. Neither is changed, and one of them is returned
-// if the other one is empty.
+// union returns the union of two sets without changing either. It returns a itself if b is empty.
 func union(a, b map[string]bool) map[string]bool {
 	if len(b) == 0 {
 		return a
@@ -215,7 +220,7 @@
 	return out
 }
 
-// The results of asking for a permit, by which operators count them.
+// The results of permit requests, as metrics label them.
 const (
 	permitGranted  = "granted"
 	permitReached  = "limit reached"
@@ -223,7 +228,7 @@
 	permitLeft     = "caller left"
 )
 
-// permitResult returns how operators count a result of limits.Set.Take.
+// permitResult returns the metrics label for an error of limits.Set.Take.
 func permitResult(err error) string {
 	switch {
 	case err == nil:
--- a/internal/gateway/prefixes.go
+++ b/internal/gateway/prefixes.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// prefixKept is how long after a prompt part was last sent to an engine it is
-	// expected to be kept there: parts give way to others when memory is needed.
+	// prefixKept is how long an engine is expected to cache a prompt part after the part was
+	// last sent to it. Engines evict parts when they need memory.
 	prefixKept = 5 * time.Second
-	// mostPrefixes bounds the parts that are remembered of one engine, in case callers
-	// make them up: some ten times what an engine can read in that time.
+	// mostPrefixes bounds the parts that are recorded for one engine, in case callers invent
+	// parts. It is about ten times what an engine can read within prefixKept.
 	mostPrefixes = 256
 )
 
-// prefixes remembers which shared parts of prompts this entry lately sent to which
-// engine. An engine that keeps a part does not read it again, and holds it once for
-// all generations that share it.
+// prefixes records which shared prompt parts this entry recently sent to which engine. An
+// engine does not read a part again that it has cached, and holds it once for all generations
+// that share it.
 type prefixes struct {
 	mu   sync.Mutex
 	used map[string]map[string]time.Time
@@ -26,7 +26,7 @@
 
 func newPrefixes() *prefixes { return &prefixes{used: map[string]map[string]time.Time{}} }
 
-// note remembers that a prompt with shared parts was sent to an engine.
+// note records that a prompt with shared parts was sent to an engine.
 func (p *prefixes) note(engine string, shared []protocol.PromptPart, now time.Time) {
 	if len(shared) == 0 {
 		return
@@ -38,26 +38,26 @@
 		parts = map[string]time.Time{}
 		p.used[engine] = parts
 	}
-	for _, s := range shared {
-		parts[s.ID] = now
+	for _, part := range shared {
+		parts[part.ID] = now
 	}
 	if len(parts) > mostPrefixes {
 		forgetPrefixes(parts, now)
 	}
 }
 
-// forgetPrefixes drops what is no longer expected to be kept, or any if that does not
-// suffice.
+// forgetPrefixes drops the parts that the engine is no longer expected to cache, and any
+// others while more than mostPrefixes are left.
 func forgetPrefixes(parts map[string]time.Time, now time.Time) {
-	for id, at := range parts {
-		if now.Sub(at) > prefixKept || len(parts) > mostPrefixes {
+	for id, sentAt := range parts {
+		if now.Sub(sentAt) > prefixKept || len(parts) > mostPrefixes {
 			delete(parts, id)
 		}
 	}
 }
 
-// kept returns how many tokens of a prompt's shared parts an engine is expected to
-// keep: parts count only if all before them are kept as well.
+// kept returns how many tokens of a prompt's shared parts an engine is expected to have
+// cached. A part counts only if all parts before it are cached as well.
 func (p *prefixes) kept(engine string, shared []protocol.PromptPart, now time.Time) int {
 	if len(shared) == 0 {
 		return 0
@@ -65,18 +65,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	parts, tokens := p.used[engine], 0
-	for _, s := range shared {
-		at, ok := parts[s.ID]
-		if !ok || now.Sub(at) > prefixKept {
+	for _, part := range shared {
+		sentAt, ok := parts[part.ID]
+		if !ok || now.Sub(sentAt) > prefixKept {
 			break
 		}
-		tokens += s.Tokens
+		tokens += part.Tokens
 	}
 	return tokens
 }
 
-// forget drops the engines that are not known any more, and the parts that are no
-// longer expected to be kept.
+// forget drops the engines that are no longer known, and the parts that are no longer expected
+// to be cached.
 func (p *prefixes) forget(known func(engine string) bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/prefixes_test.go
+++ b/internal/gateway/prefixes_test.go
@@ -9,7 +9,7 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// TestPrefixesKept covers what an engine is expected to keep of a prompt.
+// TestPrefixesKept covers how much of a prompt an engine is expected to have cached.
 func TestPrefixesKept(t *testing.T) {
 	parts := []protocol.PromptPart{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}}
 	start := time.Now()
@@ -20,11 +20,11 @@
 		after  time.Duration
 		want   int
 	}{
-		{"sent lately", parts, "e", time.Second, 300},
+		{"sent recently", parts, "e", time.Second, 300},
 		{"only the first part was sent", parts[:1], "e", time.Second, 100},
 		{"only the second part was sent", parts[1:], "e", time.Second, 0},
 		{"sent to another engine", parts, "f", time.Second, 0},
-		{"long ago", parts, "e", time.Minute, 0},
+		{"sent long ago", parts, "e", time.Minute, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPrefixes()
@@ -36,30 +36,30 @@
 	}
 }
 
-// TestPrefixesAreBounded: callers that make up parts take no memory without bound,
-// and engines that are gone take none.
+// Callers that invent prompt parts must not make this entry's memory grow without bound, and
+// engines that are gone must be forgotten.
 func TestPrefixesAreBounded(t *testing.T) {
 	p := newPrefixes()
 	for i := range 10 * mostPrefixes {
 		p.note("e", []protocol.PromptPart{{ID: strconv.Itoa(i), Tokens: 1}}, time.Now())
 	}
 	if n := len(p.used["e"]); n > mostPrefixes {
-		t.Errorf("%d parts remembered, want at most %d", n, mostPrefixes)
+		t.Errorf("%d parts recorded, want at most %d", n, mostPrefixes)
 	}
 	p.forget(func(string) bool { return true }, time.Now().Add(2*prefixKept))
 	if len(p.used) != 0 {
-		t.Error("parts are remembered for longer than engines keep them")
+		t.Error("parts are recorded for longer than engines are expected to cache them")
 	}
 	p.note("e", []protocol.PromptPart{{ID: "a", Tokens: 1}}, time.Now())
 	p.forget(func(string) bool { return false }, time.Now())
 	if len(p.used) != 0 {
-		t.Error("an engine that is gone is remembered")
+		t.Error("an engine that is gone is still recorded")
 	}
 }
 
-// TestSharedPromptGoesWhereItIsKept: generations that share a long part of their
-// prompt go to the engine that has read it, unless that one is much fuller.
-func TestSharedPromptGoesWhereItIsKept(t *testing.T) {
+// Generations that share a long part of their prompt go to the engine that has cached that part,
+// unless its load is much higher than that of others.
+func TestSharedPromptGoesToEngineThatCachedIt(t *testing.T) {
 	f := newFixture(t)
 	engines := []*engine{f.addEngine("a"), f.addEngine("b"), f.addEngine("c")}
 	decode := f.gateway.proto.Decode
@@ -78,6 +78,6 @@
 		most = max(most, e.runs())
 	}
 	if most != 6 {
-		t.Errorf("%d of 6 requests at one engine, want all where the part is kept", most)
+		t.Errorf("%d of 6 requests at one engine, want all at the engine that cached the part", most)
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -13,8 +13,8 @@
 	"github.com/sparshore/sparshore/internal/link"
 )
 
-// relay passes events on as they come until the answer ends. It calls started
-// at the first one.
+// relay passes events on to the caller as they arrive, until the answer ends. It calls started
+// at the first event.
 func (s *stream) relay(ctx context.Context, st step, answer *link.Answer, sent time.Time, started func()) outcome {
 	g, r := s.g, newEventReader(answer)
 	first := true
@@ -47,7 +47,7 @@
 	}
 }
 
-// pass gives the caller whole events.
+// pass writes complete events to the caller.
 func (s *stream) pass(b []byte) error {
 	if _, err := s.rq.w.Write(b); err != nil {
 		return err
@@ -55,7 +55,7 @@
 	return s.flush()
 }
 
-// notePause keeps the longest pause between events.
+// notePause records the longest pause between events.
 func (s *stream) notePause() {
 	now := s.g.now()
 	if !s.lastAt.IsZero() && now.Sub(s.lastAt) > s.pausedFor {
@@ -64,8 +64,8 @@
 	s.lastAt = now
 }
 
-// firstEvent notes the start of an attempt's events, and sends the head of the
-// answer with the very first.
+// firstEvent records the first event of an attempt. If it is also the first one of the stream,
+// firstEvent sends the head of the answer to the caller.
 func (s *stream) firstEvent(st step, answer *link.Answer, sent time.Time) {
 	g, now := s.g, s.g.now()
 	g.fleet.Note(st.at.ID, fleet.Served)
@@ -86,7 +86,7 @@
 	g.met.began(s.firstIn)
 }
 
-// broke handles the end of an attempt's answer: whole, or broken off.
+// broke handles the end of an attempt's answer, which is complete or has broken off.
 func (s *stream) broke(ctx context.Context, st step, answer *link.Answer, rest []byte, err error) outcome {
 	if errors.Is(err, io.EOF) && answer.Framed && len(rest) == 0 && s.began {
 		now := s.g.now()
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -19,7 +19,7 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// request is a caller's request while it is served.
+// request is a caller's request that is being served.
 type request struct {
 	call    protocol.Call
 	body    []byte
@@ -28,38 +28,38 @@
 	route   *routetable.Route
 	service *routetable.Service
 	account string
-	// fingerprint is the same each time the caller sends the request, and run what is
-	// known of those that end upstreams.
+	// fingerprint is the same each time the caller sends the request. run is its record
+	// in the quarantine of requests that crash upstreams.
 	fingerprint quarantine.Fingerprint
 	run         *quarantine.Run
 	start       time.Time
-	// deadline is the earlier of the caller's and the route's.
+	// deadline is the earlier of the caller's and the route's deadline.
 	deadline time.Time
-	// caller ends when the caller goes away.
+	// caller is cancelled when the caller's connection ends.
 	caller context.Context
-	// conn is the caller's connection, nil where it is not known.
+	// conn is the caller's connection; nil if it is not known.
 	conn *connlimit.Conn
 	w    http.ResponseWriter
-	// sent is set once an upstream may have seen the request.
+	// sent is set once an upstream may have received the request.
 	sent  bool
 	tries int
 }
 
-// The times after which a refused caller may come back.
+// The retry delays for refused callers, and the durations that are assumed for requests.
 const (
-	// backUnready is for an entry that knows no routes or may not trust them:
-	// another entry can serve at once.
+	// backUnready is the retry delay of an entry without routes that it may trust; another
+	// entry can serve at once.
 	backUnready = 300 * time.Millisecond
-	// backNoUpstream is about the time in which a new upstream appears.
+	// backNoUpstream is about the time until a new upstream appears.
 	backNoUpstream = 500 * time.Millisecond
-	// backBusy is about the time in which a crowded upstream ends some requests.
+	// backBusy is about the time in which a busy upstream completes a few requests.
 	backBusy = 250 * time.Millisecond
-	// plainTime is time enough for nearly all calls to plain services.
+	// plainTime suffices for nearly all calls to plain services.
 	plainTime = 500 * time.Millisecond
-	// defaultStart is the time by which generations on routes without an objective
-	// are expected to begin.
+	// defaultStart is the time within which a generation is expected to begin on a route
+	// without an objective.
 	defaultStart = 5 * time.Second
-	// defaultTimeout serves requests without a stated time limit on routes without one.
+	// defaultTimeout is the time limit of requests if neither they nor their route state one.
 	defaultTimeout = time.Minute
 )
 
@@ -93,11 +93,12 @@
 	g.serveCall(ctx, rq)
 }
 
-// mostStack bounds in bytes the stack that a log line carries: some twenty calls.
+// mostStack bounds in bytes the stack trace in a log line; it holds about twenty calls.
 const mostStack = 4 << 10
 
-// recovered writes down a fault of this program and answers the request if nothing of an
-// answer is on its way; it may have run. Otherwise net/http ends the connection.
+// recovered handles a panic of the handler. It logs the panic and, if no part of an answer has
+// been sent, refuses the request with a status that allows that it has run. Otherwise it panics
+// again, and net/http ends the connection.
 func (g *Gateway) recovered(rq *request) {
 	v := recover()
 	if v == nil {
@@ -114,14 +115,14 @@
 	g.proto.Refuse(rq.w, &rq.call, protocol.Refusal{Status: http.StatusBadGateway, Reason: "a fault of this entry"}, g.now())
 }
 
-// notePanic writes a fault of this program down.
+// notePanic logs a panic with its stack.
 func (g *Gateway) notePanic(rq *request, v any) {
 	stack := debug.Stack()
 	g.met.unanswered(unansweredPanic)
 	g.rec.Note(events.HandlerPanicked, rq.call.ID, "panic", v, "stack", string(stack[:min(len(stack), mostStack)]))
 }
 
-// gone notes that a caller's connection ended while something was done.
+// gone records that a caller's connection ended; while states what was being done.
 func (g *Gateway) gone(rq *request, while string, err error) {
 	cause := unansweredLeft
 	if rq.conn.EndedHere() != "" {
@@ -131,8 +132,8 @@
 	g.rec.Note(events.CallerGone, rq.call.ID, "while", while, "caller", rq.conn.Caller(), "ended-here", rq.conn.EndedHere(), "sent", rq.sent, "after", g.now().Sub(rq.start), "error", err)
 }
 
-// admit finds route, account and service, and reads the body. It answers and
-// returns false if the request cannot be served.
+// admit determines the route, account and service of a request and reads its body. If the
+// request cannot be served, admit answers it and returns false.
 func (g *Gateway) admit(rq *request, r *http.Request) bool {
 	trusted := g.routesTrusted()
 	var confirmed time.Time
@@ -142,7 +143,7 @@
 		return false
 	}
 	rq.age = rq.start.Sub(confirmed)
-	if most := rq.table.Limits().HeaderBytes; most > 0 && headerBytes(r) > most {
+	if maxBytes := rq.table.Limits().HeaderBytes; maxBytes > 0 && headerBytes(r) > maxBytes {
 		g.refuse(rq, http.StatusRequestHeaderFieldsTooLarge, "headers are too large", 0)
 		return false
 	}
@@ -174,7 +175,7 @@
 	return g.readBody(rq, r)
 }
 
-// headerBytes is the size of a request's line and headers on the wire.
+// headerBytes returns the size of the request line and headers on the wire.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len("  \r\n") + len("Host: \r\n") + len(r.Host)
 	for name, values := range r.Header {
@@ -185,9 +186,9 @@
 	return n
 }
 
-// lasts is how long a request is taken to last. Generations are judged by the most
-// output they may make: of those that an entry took in a stop by the callers'
-// guesses of their length, one in six was cut.
+// lasts returns the time that a request is assumed to take. A generation is assumed to reach
+// its maximum output: of those that a stopping entry accepted by the length that their callers
+// hinted at, one in six was cut.
 func (g *Gateway) lasts(rq *request) time.Duration {
 	if rq.service.Engine == nil {
 		return plainTime
@@ -210,9 +211,9 @@
 	return d
 }
 
-// authenticate finds the account. Only a table that is known to be new enough
-// proves that a key is unknown. A known key that may have been revoked since is
-// served unless the operator set a hard bound.
+// authenticate determines the account by the request's key. Only a route table that was confirmed
+// recently enough proves that a key does not exist. A key that may have been revoked since the
+// table was confirmed is accepted unless the operator set HardKeyBound.
 func (g *Gateway) authenticate(rq *request, trusted bool) bool {
 	if !rq.table.NeedsKey(rq.route) {
 		return true
@@ -230,8 +231,8 @@
 	return true
 }
 
-// readBody reads the whole body, so that it can be sent more than once and a
-// caller's pace does not hold a place at an upstream.
+// readBody reads the whole body before the request is sent, so that the request can be repeated
+// and a slow caller does not occupy a slot of an upstream.
 func (g *Gateway) readBody(rq *request, r *http.Request) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(rq.w, r.Body, rq.table.Limits().BodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -248,68 +249,69 @@
 	return true
 }
 
-// refuse gives the final answer of the system's own. Statuses that promise that
-// a request has not run are only for requests no upstream can have run.
-func (g *Gateway) refuse(rq *request, status int, reason string, back time.Duration) {
+// refuse answers a request with an error of this system; retryAfter is 0 for no retry. A status
+// that promises that the request has not run may be used only if no upstream can have run it.
+func (g *Gateway) refuse(rq *request, status int, reason string, retryAfter time.Duration) {
 	now := g.now()
-	f := protocol.Refusal{Status: status, Reason: reason}
-	if back > 0 {
-		f.ComeBack = now.Add(back)
+	refusal := protocol.Refusal{Status: status, Reason: reason}
+	if retryAfter > 0 {
+		refusal.ComeBack = now.Add(retryAfter)
 	}
 	version := routetable.Version(0)
 	if rq.table != nil {
 		version = rq.table.Version()
 	}
-	g.rec.Note(events.RequestRefused, rq.call.ID, "status", status, "reason", reason, "fingerprint", rq.fingerprint, "routes", version, "routes-age", rq.age, "back-in", back, "after", now.Sub(rq.start), "sent", rq.sent)
+	g.rec.Note(events.RequestRefused, rq.call.ID, "status", status, "reason", reason, "fingerprint", rq.fingerprint, "routes", version, "routes-age", rq.age, "back-in", retryAfter, "after", now.Sub(rq.start), "sent", rq.sent)
 	g.met.refused(status)
-	g.proto.Refuse(rq.w, &rq.call, f, now)
+	g.proto.Refuse(rq.w, &rq.call, refusal, now)
 }
 
-// reject refuses a generation that no engine takes, at once: it has not run.
+// reject refuses a generation that no engine takes. It has not run, which the status 503
+// promises.
 func (g *Gateway) reject(ctx context.Context, rq *request, why error) {
-	var back time.Duration
+	var retryAfter time.Duration
 	switch {
 	case ctx.Err() != nil:
 		g.giveUp(ctx, rq, "no engine took it in time")
 		return
 	case errors.Is(why, placement.ErrTooLarge):
 	case rq.run.Isolation() == quarantine.Apart:
-		why, back = quarantine.ErrOnTrial, backTurn
+		why, retryAfter = quarantine.ErrOnTrial, backTurn
 	case errors.Is(why, placement.ErrNone):
-		back = backNoUpstream
+		retryAfter = backNoUpstream
 	case errors.Is(why, errLimited):
-		back = g.backAfterLimit(rq)
+		retryAfter = g.backAfterLimit(rq)
 	default:
-		back = g.backAfterOverload(rq)
+		retryAfter = g.backAfterOverload(rq)
 	}
-	g.refuse(rq, http.StatusServiceUnavailable, why.Error(), back)
+	g.refuse(rq, http.StatusServiceUnavailable, why.Error(), retryAfter)
 }
 
-// giveUp answers a request that got no answer from an upstream: unsent requests
-// may come back, others may have run.
+// giveUp answers a request that got no answer from an upstream. If the request was never sent,
+// the caller may retry it; otherwise the status allows that it has run.
 func (g *Gateway) giveUp(ctx context.Context, rq *request, reason string) {
 	if errors.Is(context.Cause(ctx), errStopped) {
 		reason = errStopped.Error()
 	}
-	status, back := http.StatusBadGateway, time.Duration(0)
+	status, retryAfter := http.StatusBadGateway, time.Duration(0)
 	switch {
 	case !rq.sent && g.allInBackOff(rq.service.Name, nil):
-		status, back = http.StatusServiceUnavailable, g.backAfterLimit(rq)
+		status, retryAfter = http.StatusServiceUnavailable, g.backAfterLimit(rq)
 	case !rq.sent:
-		status, back = http.StatusServiceUnavailable, backBusy
+		status, retryAfter = http.StatusServiceUnavailable, backBusy
 	case ctx.Err() != nil:
 		status = http.StatusGatewayTimeout
 	}
 	if rq.caller.Err() == nil {
-		g.refuse(rq, status, reason, back)
+		g.refuse(rq, status, reason, retryAfter)
 		return
 	}
 	g.gone(rq, "waiting", rq.caller.Err())
-	// A caller that shut only its sending side still waits for an answer.
+	// A caller that closed only its sending side still waits for an answer.
 	g.proto.Refuse(rq.w, &rq.call, protocol.Refusal{Status: status, Reason: reason}, g.now())
 }
 
-// attempt returns what an upstream is told about a request.
+// attempt returns the data that is sent to an upstream along with the request.
 func (rq *request) attempt(u fleet.Upstream) protocol.Attempt {
 	return protocol.Attempt{Upstream: u.Name, Account: rq.account, Deadline: rq.deadline}
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -15,16 +15,16 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// TestPanicsAreNoted covers what operators see of a fault of this program; an ended
-// connection is no such fault.
-func TestPanicsAreNoted(t *testing.T) {
+// A panic of the handler must be logged, except http.ErrAbortHandler, with which a handler ends
+// a connection on purpose.
+func TestPanicsAreLogged(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		value any
-		noted bool
+		name   string
+		value  any
+		logged bool
 	}{
-		{"a fault", "index out of range", true},
-		{"an answer that is cut on purpose", http.ErrAbortHandler, false},
+		{"an index out of range", "index out of range", true},
+		{"an answer that is aborted on purpose", http.ErrAbortHandler, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -32,21 +32,21 @@
 			func() {
 				defer func() {
 					if v := recover(); v != tc.value {
-						t.Errorf("net/http sees %v", v)
+						t.Errorf("net/http gets the panic %v", v)
 					}
 				}()
 				f.gateway.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/no-route/", nil))
 			}()
-			if f.noted(events.HandlerPanicked) != tc.noted {
-				t.Errorf("noted: %v", !tc.noted)
+			if f.noted(events.HandlerPanicked) != tc.logged {
+				t.Errorf("logged: %v", !tc.logged)
 			}
 		})
 	}
 }
 
-// A caller that shuts only its sending side was taken for one that is gone, and its
-// connection was ended without a word: net/http cannot tell the two apart before
-// something is written, and an answer that nobody reads does no harm.
+// A caller that closes only its sending side must get an answer. net/http cannot tell such a
+// caller from one that is gone until something is written, and an answer that nobody reads does
+// no harm.
 func TestCallerThatOnlyStopsSendingGetsAnAnswer(t *testing.T) {
 	f := newFixture(t)
 	begun := make(chan struct{}, 1)
@@ -68,21 +68,21 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("a request was read, and its caller got %v", err)
+		t.Fatalf("the caller got no answer to a request that was read: %v", err)
 	}
 	_ = resp.Body.Close()
-	// The call may have run: nothing that promises otherwise may be said.
+	// The call may have run, so the status must not promise otherwise.
 	if resp.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("got %d", resp.StatusCode)
 	}
 }
 
-// A fault of this program ended the connection of its request without a word, and one in
-// an attempt of a call ended the process.
-func TestFaultOfThisProgramIsAnswered(t *testing.T) {
+// A panic while a request is served must be answered. It must neither close the connection
+// without an answer nor, in the goroutine of an attempt, end the process.
+func TestPanicIsAnswered(t *testing.T) {
 	for _, tc := range []struct{ name, path string }{
 		{"in an attempt of a call", pathOnce},
-		{"in the work on a generation", pathStream},
+		{"while a generation is served", pathStream},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -98,7 +98,7 @@
 				t.Errorf("got %d, %v", got.status, got.err)
 			}
 			if !f.noted(events.HandlerPanicked) {
-				t.Error("nothing is noted")
+				t.Error("the panic is not logged")
 			}
 		})
 	}
--- a/internal/gateway/size.go
+++ b/internal/gateway/size.go
@@ -4,34 +4,34 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// need is the KV memory that the generation is expected to take in the end, in
-// tokens.
+// need returns the size in tokens that the KV cache of the generation is expected to reach.
 func (s *stream) need() int {
 	return s.rq.call.Prompt + expectedOutput(&s.rq.call)
 }
 
-// held is the KV memory that the generation takes by now at its engine, in tokens,
-// beside what other generations share with it. It needs the lock of s.
+// held returns the current size in tokens of the generation's KV cache at its engine, without
+// the parts that are shared with other generations. s.mu must be held.
 func (s *stream) held() int {
 	return s.rq.call.Prompt - s.kept + s.events*s.rq.service.Engine.EventTokens
 }
 
-// hintMargin covers that a caller's guess of the length is right only in half
-// of the cases.
+// hintMargin scales up the output length that a caller hints at, which is too low in half of
+// the cases.
 const hintMargin = 1.25
 
-// defaultOutput is the length in tokens of an answer of which nothing is stated.
+// defaultOutput is the assumed output length in tokens if the caller states neither a hint nor
+// a maximum.
 const defaultOutput = 256
 
-// expectedOutput is the length of an answer, in tokens, that a caller's guess and
-// bound let expect. Sizes that are not stated are 0.
+// expectedOutput returns the expected output length in tokens, given the hint and the maximum
+// of the call. Either is 0 if it is not stated.
 func expectedOutput(c *protocol.Call) int {
-	guess := int(hintMargin * float64(c.Hint))
+	scaledHint := int(hintMargin * float64(c.Hint))
 	switch {
 	case c.Hint > 0 && c.MaxOutput > 0:
-		return min(guess, c.MaxOutput)
+		return min(scaledHint, c.MaxOutput)
 	case c.Hint > 0:
-		return guess
+		return scaledHint
 	case c.MaxOutput > 0:
 		return c.MaxOutput / 2
 	default:
--- a/internal/gateway/size_test.go
+++ b/internal/gateway/size_test.go
@@ -6,17 +6,17 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// TestExpectedOutput covers guesses that are absent or absurd.
+// TestExpectedOutput covers hints and maximums, stated or not.
 func TestExpectedOutput(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		call protocol.Call
 		want int
 	}{
-		{"a guess has a margin", protocol.Call{Hint: 100, MaxOutput: 1000}, 125},
-		{"a guess above the most output", protocol.Call{Hint: 5000, MaxOutput: 1000}, 1000},
-		{"no guess", protocol.Call{MaxOutput: 1000}, 500},
-		{"a guess without a bound", protocol.Call{Hint: 100}, 125},
+		{"the hint is scaled up", protocol.Call{Hint: 100, MaxOutput: 1000}, 125},
+		{"a hint above the maximum", protocol.Call{Hint: 5000, MaxOutput: 1000}, 1000},
+		{"no hint", protocol.Call{MaxOutput: 1000}, 500},
+		{"a hint without a maximum", protocol.Call{Hint: 100}, 125},
 		{"nothing stated", protocol.Call{}, defaultOutput},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -27,18 +27,18 @@
 	}
 }
 
-// TestSizesThatCannotBe: sizes that callers state wrongly neither stop a generation for
-// good nor take memory that is not there.
-func TestSizesThatCannotBe(t *testing.T) {
+// Invalid sizes from callers must neither make a generation impossible to place nor reserve
+// memory that no engine has.
+func TestInvalidSizes(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		call protocol.Call
 		want int
 	}{
-		{"a negative guess", protocol.Call{Hint: -5, MaxOutput: 1000}, 500},
-		{"a negative bound", protocol.Call{Hint: 100, MaxOutput: -1}, 125},
+		{"a negative hint", protocol.Call{Hint: -5, MaxOutput: 1000}, 500},
+		{"a negative maximum", protocol.Call{Hint: 100, MaxOutput: -1}, 125},
 		{"both negative", protocol.Call{Hint: -5, MaxOutput: -1}, defaultOutput},
-		{"a guess a thousand times too long", protocol.Call{Hint: 100000, MaxOutput: 120}, 120},
+		{"a hint far above the maximum", protocol.Call{Hint: 100000, MaxOutput: 120}, 120},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := expectedOutput(&tc.call); got != tc.want {
--- a/internal/gateway/oldnews_test.go
+++ b/internal/gateway/staleload_test.go
@@ -11,22 +11,22 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// oldNews plays many entries that place generations at the engines of some zones while
-// each knows the loads of a moment ago only; all of them decide by one gateway, whose
-// ledger holds the loads of that moment.
+// oldNews simulates many entries that place generations at the engines of several zones, each
+// with a load report that is delay old. One gateway makes all decisions, and its ledger holds
+// the loads of that earlier time.
 type oldNews struct {
 	f       *fixture
 	now     time.Time
 	delay   time.Duration
 	zones   []string
 	engines []string
-	// readBy is when an engine has read the prompts that it got.
+	// readBy is when each engine will have read all prompts sent to it.
 	readBy map[string]time.Time
 	// running are the generations at each engine.
 	running map[string][]running
 	history []snapshot
-	// late are the generations that began late, and away those placed in another zone
-	// than their entry's.
+	// late counts the generations that began late, and away those that were placed outside
+	// the zone of their entry.
 	late, away int
 }
 
@@ -64,7 +64,7 @@
 	return o
 }
 
-// loads is what runs at the engines now.
+// loads drops the generations that have ended and returns the load of each engine now.
 func (o *oldNews) loads() map[string]gossip.Load {
 	out := map[string]gossip.Load{}
 	for id, list := range o.running {
@@ -86,7 +86,7 @@
 	return out
 }
 
-// place lets one entry place a generation.
+// place places one generation as an entry of a random zone.
 func (o *oldNews) place(t *testing.T) {
 	t.Helper()
 	o.f.gateway.settings.Zone = o.zones[rand.IntN(len(o.zones))]
@@ -113,7 +113,7 @@
 	}
 }
 
-// learn makes the loads of the delay before known.
+// learn gives the gateway the loads as they were delay ago.
 func (o *oldNews) learn() {
 	o.history = append(o.history, snapshot{at: o.now, loads: o.loads()})
 	for len(o.history) > 1 && !o.now.Before(o.history[1].at.Add(o.delay)) {
@@ -124,15 +124,15 @@
 	}
 }
 
-// TestOldNewsDoesNotCrowdEngines: entries that learn of each other's placements late
-// must not all take the same engine. A rate of 190 a second is what 103 entries get,
-// half of what 144 engines can read.
-func TestOldNewsDoesNotCrowdEngines(t *testing.T) {
+// Entries that learn of each other's placements with a delay must not all choose the same
+// engine. 190 requests per second are the load of 103 entries, and half of what 144 engines can
+// read.
+func TestStaleLoadsDoNotCrowdEngines(t *testing.T) {
 	const step, rate, played = 5 * time.Millisecond, 190.0, 40 * time.Second
 	for _, tc := range []struct {
 		delay time.Duration
-		// most is the largest part of the generations that may begin late.
-		most float64
+		// maxLate is the largest share of the generations that may begin late.
+		maxLate float64
 	}{
 		{10 * time.Millisecond, 0.001},
 		{50 * time.Millisecond, 0.005},
@@ -150,8 +150,8 @@
 				}
 			}
 			t.Logf("%d of %d late, %d in another zone", o.late, placed, o.away)
-			if part := float64(o.late) / float64(placed); part > tc.most {
-				t.Errorf("%d of %d generations began late with news of %s, want a part of at most %v", o.late, placed, tc.delay, tc.most)
+			if share := float64(o.late) / float64(placed); share > tc.maxLate {
+				t.Errorf("%d of %d generations began late with loads %s old, want a share of at most %v", o.late, placed, tc.delay, tc.maxLate)
 			}
 		})
 	}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -6,33 +6,36 @@
 	"time"
 )
 
-// errStopped ends the requests that are in flight at the end of a planned stop.
+// errStopped is the cause with which requests in flight are cancelled at the end of a planned
+// stop.
 var errStopped = errors.New("this entry stopped")
 
 const (
-	// backStopping is for an entry that stops while another one serves: that one
-	// can take the caller at once.
+	// backStopping is the retry delay that a stopping entry states while another entry serves,
+	// which can take the caller at once.
 	backStopping = 50 * time.Millisecond
-	// restartTime is from the moment an entry gives up its last requests until the
-	// balancer sends callers to the one that takes its place: its start, up to a second until
-	// the balancer asks it, and a little more.
+	// restartTime is the time from when an entry gives up its last requests until the load
+	// balancer sends callers to its replacement: the start of the replacement, up to 1 s until
+	// the next readiness check, and a small margin.
 	restartTime = 1750 * time.Millisecond
-	// NoticeTime is how long the balancer goes on sending callers to an entry that
-	// is not ready: it asks each second and believes the second refusal.
+	// NoticeTime is how long the load balancer keeps sending callers to an entry that is not
+	// ready: it checks readiness each second and acts on the second failed check.
 	NoticeTime = 2500 * time.Millisecond
-	// AnswerSpare is left of a planned stop to answer the requests that it gives up: some
-	// round trips, and a turn of a process that shares its processor.
+	// AnswerSpare is the last part of a planned stop, reserved for answering the requests that
+	// are given up: a few round trips, and one scheduling delay of a process that shares its
+	// processor.
 	AnswerSpare = 100 * time.Millisecond
 )
 
-// Drain tells the balancer to send nothing new, and the other entries that this
-// one stops. What comes all the same is served if it can be expected to end
-// before the deadline.
+// Drain reports this entry as not ready to the load balancer and as stopping to the other
+// entries. Requests that still arrive are served if they are expected to end before the
+// deadline.
 func (g *Gateway) Drain(deadline time.Time) { g.DrainUntil(deadline, deadline) }
 
-// DrainUntil is Drain for an entry that cannot tell how late it noticed that it is to stop: what
-// comes is served if it can be expected to end before last, and what is in flight is given up at
-// the end, which is later. A generation that is given up early is lost for nothing.
+// DrainUntil is Drain for an entry that cannot tell how late it noticed the signal to stop. New
+// requests are served if they are expected to end before last, the earlier deadline. Requests in
+// flight are given up only at end, the later deadline, because a generation that is given up too
+// early is lost for nothing.
 func (g *Gateway) DrainUntil(last, end time.Time) {
 	g.noticedAt.Set(g.now().Add(NoticeTime))
 	g.stopBy.Set(last)
@@ -41,11 +44,11 @@
 	g.others.Urge()
 }
 
-// GiveUp ends the requests in flight of a planned stop; their callers get an answer.
+// GiveUp ends the requests in flight at the end of a planned stop; their callers get an answer.
 func (g *Gateway) GiveUp() { g.giveUpAll(errStopped) }
 
-// untilStop returns a context that also ends when a planned stop gives up what is in
-// flight, so that its callers get an answer and not a closed connection.
+// untilStop returns a context that is also cancelled when a planned stop gives up the requests
+// in flight, so that their callers get an answer and not a closed connection.
 func (g *Gateway) untilStop(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	unhook := context.AfterFunc(g.stopping, func() { cancel(errStopped) })
@@ -55,19 +58,18 @@
 	}
 }
 
-// StopBy returns by when requests are to end in a planned stop; the zero time while none is
-// under way.
+// StopBy returns the time by which requests have to end in a planned stop. It is zero if no stop
+// is in progress.
 func (g *Gateway) StopBy() time.Time { return g.stopBy.Get() }
 
-// stopsBefore reports whether a planned stop would give a request up that takes
-// a time from now.
+// stopsBefore reports whether a planned stop would give up a request that takes d from now.
 func (g *Gateway) stopsBefore(d time.Duration) bool {
 	by := g.StopBy()
 	return !by.IsZero() && g.now().Add(d).After(by)
 }
 
-// QuietFor returns for how long no caller has asked anything; 0 while requests are
-// in flight.
+// QuietFor returns the time since the last request began or ended; 0 while requests are in
+// flight.
 func (g *Gateway) QuietFor() time.Duration {
 	if g.inFlight.Load() > 0 {
 		return 0
@@ -75,64 +77,65 @@
 	return g.now().Sub(g.askedAt.Get())
 }
 
-// enter notes that a caller's request began.
+// enter counts a caller's request as in flight.
 func (g *Gateway) enter() {
 	g.inFlight.Add(1)
 	g.askedAt.Set(g.now())
 }
 
-// leave notes that a caller's request ended.
+// leave undoes enter when the request has ended.
 func (g *Gateway) leave() {
 	g.askedAt.Set(g.now())
 	g.inFlight.Add(-1)
 }
 
-// plannedStops is what the entries that are heard tell of planned stops.
+// plannedStops summarizes which entries serve and which stop, as far as gossip tells.
 type plannedStops struct {
-	// near tells that another entry of the zone serves, far that any other does.
+	// near is set if another entry of this zone serves, far if any other entry serves.
 	near, far bool
-	// nearStops tells that another entry of the zone stops.
+	// nearStops is set if another entry of this zone stops.
 	nearStops bool
-	// first is when the first entry that stops gives up its last requests, and
-	// lastNear when the last of the zone does; this entry counts.
+	// first is the earliest time at which a stopping entry gives up its requests, and lastNear
+	// the latest such time in this zone. Both include this entry.
 	first, lastNear time.Time
 }
 
-// stops looks at the planned stops of this entry and the others.
+// stops returns the planned stops of this entry and the others.
 func (g *Gateway) stops() plannedStops {
 	own := g.StopBy()
 	out := plannedStops{first: own, lastNear: own}
 	for _, p := range g.others.Heard() {
-		by, near := p.State.StopBy, p.State.Zone == g.settings.Zone
+		stopBy, sameZone := p.State.StopBy, p.State.Zone == g.settings.Zone
 		switch {
-		case by.IsZero() && p.State.Confirmed.IsZero():
-			// It has not learnt the routes yet.
-		case by.IsZero():
-			out.near, out.far = out.near || near, true
+		case stopBy.IsZero() && p.State.Confirmed.IsZero():
+			// The entry has no routes yet and cannot serve.
+		case stopBy.IsZero():
+			out.near, out.far = out.near || sameZone, true
 		default:
-			out.nearStops = out.nearStops || near
-			if by.Before(out.first) {
-				out.first = by
+			out.nearStops = out.nearStops || sameZone
+			if stopBy.Before(out.first) {
+				out.first = stopBy
 			}
-			if near && by.After(out.lastNear) {
-				out.lastNear = by
+			if sameZone && stopBy.After(out.lastNear) {
+				out.lastNear = stopBy
 			}
 		}
 	}
 	return out
 }
 
-// backAfterStop is the time after which an entry can be expected to serve what
-// this stopping one refuses. Callers try once or twice, and the balancer believes
-// a stopping entry ready for a while: told to come back at once, most of those that a
-// zone with all entries stopping refuses are refused for good.
+// backAfterStop returns the retry delay for a request that this stopping entry refuses: the time
+// after which another entry is expected to serve it. Callers retry once or twice, and for
+// NoticeTime the load balancer still sends them to stopping entries. If all entries of a zone
+// stop and callers retry at once, most of them use up their retries on these entries.
 func (g *Gateway) backAfterStop() time.Duration {
 	s := g.stops()
 	switch {
 	case s.near || s.far && !s.nearStops:
 		return backStopping
 	case s.far:
-		// The balancer sends callers to other zones once it knows of all stops here.
+		// The load balancer sends callers to other zones once it has noticed all stops in
+		// this zone.
 		noticed := g.noticedAt.Get().Add(s.lastNear.Sub(g.StopBy()))
 		return max(noticed.Sub(g.now()), backStopping)
 	default:
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -9,7 +9,7 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-func TestStoppingGateway(t *testing.T) {
+func TestStoppingGatewayRefusesLongStreams(t *testing.T) {
 	f := newFixture(t)
 	f.add("app", "a", serveOK)
 	llm := f.add("llm", "e", serveOK)
@@ -18,13 +18,13 @@
 		t.Errorf("status %d, closes %v; want a short call served and the connection closed", got.status, got.closes)
 	}
 	if got := f.ask(pathStream); got.status != http.StatusServiceUnavailable || llm.runs() != 0 {
-		t.Errorf("status %d, %d sends; want a stream that would be cut refused unrun", got.status, llm.runs())
+		t.Errorf("status %d, %d sends; want a stream that would be cut refused without a send", got.status, llm.runs())
 	}
 }
 
-// TestStoppingGatewayDoubtsTheHint: a caller's guess of the length is too low in
-// half of the cases, so only the most output tells whether a stream ends in time.
-func TestStoppingGatewayDoubtsTheHint(t *testing.T) {
+// A caller's hint of the output length is too low in half of the cases, so a stopping gateway has
+// to judge by the maximum output whether a stream ends in time.
+func TestStoppingGatewayIgnoresTheHint(t *testing.T) {
 	f := newFixture(t)
 	llm := f.add("llm", "e", serveOK)
 	f.peers = map[string]gossip.Peer{"b": {State: gossip.State{Confirmed: time.Now()}}}
@@ -36,11 +36,11 @@
 		return c
 	}
 	if got := f.ask(pathStream); got.status != http.StatusServiceUnavailable || llm.runs() != 0 {
-		t.Errorf("status %d, %d sends; want the stream refused unrun", got.status, llm.runs())
+		t.Errorf("status %d, %d sends; want the stream refused without a send", got.status, llm.runs())
 	}
 }
 
-// TestBackAfterStop covers when a stopping entry tells callers to come back.
+// TestBackAfterStop covers the retry delay that a stopping entry tells callers.
 func TestBackAfterStop(t *testing.T) {
 	const own = 6 * time.Second
 	now := time.Now()
@@ -53,13 +53,13 @@
 		peers []gossip.State
 		want  time.Duration
 	}{
-		{"another one of the zone serves", []gossip.State{serving("a"), stopping("a", time.Second)}, backStopping},
-		{"it is the only one of its zone", []gossip.State{serving("b")}, backStopping},
-		{"the balancer does not know yet that the whole zone stops", []gossip.State{stopping("a", 5*time.Second), serving("b")}, NoticeTime},
-		{"the other one of the zone stopped a second later", []gossip.State{stopping("a", 7*time.Second), serving("b")}, NoticeTime + time.Second},
-		{"all stop, another one first", []gossip.State{stopping("a", 4*time.Second), stopping("b", 5*time.Second)}, 4*time.Second + restartTime},
-		{"nobody else is heard", nil, own + restartTime},
-		{"another one has just started and knows no routes", []gossip.State{{Zone: "a"}}, own + restartTime},
+		{"another entry of the zone serves", []gossip.State{serving("a"), stopping("a", time.Second)}, backStopping},
+		{"it is the only entry of its zone", []gossip.State{serving("b")}, backStopping},
+		{"the balancer has not noticed yet that the whole zone stops", []gossip.State{stopping("a", 5*time.Second), serving("b")}, NoticeTime},
+		{"the other entry of the zone stops a second later", []gossip.State{stopping("a", 7*time.Second), serving("b")}, NoticeTime + time.Second},
+		{"all entries stop, another one first", []gossip.State{stopping("a", 4*time.Second), stopping("b", 5*time.Second)}, 4*time.Second + restartTime},
+		{"no other entry is known", nil, own + restartTime},
+		{"another entry has just started and has no routes", []gossip.State{{Zone: "a"}}, own + restartTime},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -71,7 +71,7 @@
 			}
 			f.gateway.Drain(now.Add(own))
 			if got := f.gateway.backAfterStop(); (got - tc.want).Abs() > time.Millisecond {
-				t.Errorf("come back in %s, want %s", got, tc.want)
+				t.Errorf("retry delay %s, want %s", got, tc.want)
 			}
 		})
 	}
@@ -106,10 +106,10 @@
 	}
 }
 
-// A planned stop closed the connections of the requests that were still in flight at its
-// end. Their callers got a reset; it does not say that the request may have run, nor that
-// anybody looked at it.
-func TestStopAnswersWhatIsInFlight(t *testing.T) {
+// Requests that are still in flight at the end of a planned stop must be answered. If their
+// connections were reset instead, callers could not tell whether the requests may have run or
+// were read at all.
+func TestStopAnswersRequestsInFlight(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		path string
@@ -119,11 +119,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			begun, over := make(chan struct{}, 1), make(chan struct{})
-			defer close(over)
+			begun, release := make(chan struct{}, 1), make(chan struct{})
+			defer close(release)
 			serve := func(http.ResponseWriter, *http.Request) {
 				begun <- struct{}{}
-				<-over
+				<-release
 			}
 			f.add("app", "app-1", serve)
 			f.add("llm", "eng-1", serve)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,40 +13,40 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// stream is a generation while it is relayed.
+// stream is a generation whose answer is being relayed to its caller.
 type stream struct {
 	g  *Gateway
 	rq *request
-	// began is set once the head of the answer is on its way to the caller.
+	// began is set once the head of the answer has been sent to the caller.
 	began bool
 	flush func() error
-	// firstIn is the time to the first event.
+	// firstIn is the time from the start of the request to the first event.
 	firstIn time.Duration
-	// pausedFor is the longest pause between two events so far, which ended at
-	// pausedAt; lastAt is when the last event was passed on.
+	// pausedFor is the longest pause between two events so far, and pausedAt the number of
+	// events passed on when it ended; lastAt is when the last event was passed on.
 	pausedFor time.Duration
 	pausedAt  int
 	lastAt    time.Time
-	// stuck tells why the generation could not go on although it might have.
+	// stuck is the reason why a generation that could have been resumed was not.
 	stuck string
 
 	mu sync.Mutex
 	// at is the engine that runs the generation.
 	at fleet.Upstream
-	// lastEvent and events tell how far the caller has the answer.
+	// lastEvent is the ID of the last event that the caller has, and events their number.
 	lastEvent string
 	events    int
 	claim     *claim
-	// kept is the part of the prompt that the engine held already for others.
+	// kept is the number of prompt tokens that the engine is expected to have cached already.
 	kept int
-	// toRead is the number of prompt tokens that the engine had to read when it got
-	// the generation, with those that came before.
+	// toRead is the number of prompt tokens that the engine had to read when it got the
+	// generation, including the prompts of requests that it got earlier.
 	toRead int
-	// copies are the copies of the memory that can serve, the one to try first
-	// at the front.
+	// copies are the copies of the memory that the generation can be resumed from, in the
+	// order in which they are to be tried.
 	copies []heldCopy
-	// handover is set from the decision to stop the generation for a move until
-	// it goes on; it is closed when the engine has answered.
+	// handover is set from the decision to stop the generation for a move until it has
+	// resumed. It is closed when the engine has answered the command to stop.
 	handover chan struct{}
 	ended    bool
 }
@@ -57,7 +57,8 @@
 	at   fleet.Upstream
 }
 
-// step is one attempt of a generation: where it runs and from what it goes on.
+// step is one attempt to run a generation: the engine, and the copy from which the generation
+// resumes, or nil.
 type step struct {
 	at   fleet.Upstream
 	from *protocol.Copy
@@ -68,13 +69,13 @@
 type outcome int
 
 const (
-	// streamWhole: the caller has the whole answer.
+	// streamWhole means that the caller has the complete answer.
 	streamWhole outcome = iota
-	// streamUnrun: the engine did not run the attempt.
+	// streamUnrun means that the engine did not run the attempt.
 	streamUnrun
-	// streamBroken: the attempt ended before its answer was whole.
+	// streamBroken means that the attempt ended before its answer was complete.
 	streamBroken
-	// streamFailed: the engine answered with a failure.
+	// streamFailed means that the engine answered with a failure, which the caller has.
 	streamFailed
 )
 
@@ -105,7 +106,7 @@
 	s.lost(ctx)
 }
 
-// lost ends a request whose generation cannot go on.
+// lost ends a request whose generation cannot be resumed.
 func (s *stream) lost(ctx context.Context) {
 	if !s.began {
 		s.g.giveUp(ctx, s.rq, "the generation did not start")
@@ -124,11 +125,11 @@
 	}
 	s.g.met.ended("cut")
 	s.g.rec.Note(events.StreamCut, s.rq.call.ID, "why", why, "upstream", s.at.ID, "after-event", s.lastEvent, "events", s.events, "took", s.g.now().Sub(s.rq.start))
-	// The caller must see that the answer is not whole.
+	// Aborting the connection shows the caller that the answer is incomplete.
 	panic(http.ErrAbortHandler)
 }
 
-// enter registers the stream with the engine that is to run it.
+// enter registers the stream and its load with the engine that is to run it.
 func (s *stream) enter(st step) {
 	s.mu.Lock()
 	s.at = st.at
@@ -155,7 +156,7 @@
 	s.g.unregister(s, id)
 }
 
-// end notes that the request is over, and gives up the copies that it did not use.
+// end marks the request as ended and releases the copies that it did not use.
 func (s *stream) end() {
 	s.mu.Lock()
 	s.ended = true
@@ -167,7 +168,7 @@
 	}
 }
 
-// advance notes events that were passed on.
+// advance records events that were passed on to the caller.
 func (s *stream) advance(id string, n int) {
 	s.mu.Lock()
 	first := s.events == 0
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -21,31 +21,31 @@
 // lastTestEvent is the number of events of a whole stream in these tests.
 const lastTestEvent = 40
 
-// engine is a stand-in of a model engine that can copy a generation's memory. An
-// answer is the events 1 to lastTestEvent.
+// engine is a fake model engine that can copy the memory of a generation. Its answers consist of
+// the events 1 to lastTestEvent.
 type engine struct {
 	*upstream
 
 	mu      sync.Mutex
 	stopped chan struct{}
-	// pace is the time between two events; gate holds them back while it is open.
+	// pace is the time between two events.
 	pace time.Duration
-	// copies answers the orders to copy, in turn; the last one stays.
+	// copies are the answers to successive copy commands; the last one is repeated.
 	copies []protocol.CopyResult
-	// refuse makes that many attempts from a copy end unrun.
+	// refuse is the number of attempts to resume from a copy that are refused without a run.
 	refuse int
-	// breakAfter ends the first answer after that event, half-way in the next.
+	// breakAfter breaks off the first answer after this event, in the middle of the next.
 	breakAfter int
-	// copyWait, if set, holds the answers to orders to copy back until it is closed.
+	// copyWait, if set, delays the answers to copy commands until it is closed.
 	copyWait chan struct{}
 	orders   []string
-	// arrived counts the orders, also those that copyWait holds back.
+	// arrived counts the commands, including those whose answers copyWait delays.
 	arrived int
-	// releases counts the orders to release a copy.
+	// releases counts the commands to release a copy.
 	releases int
 }
 
-// released returns how many copies the engine was told to release.
+// released returns the number of commands to release a copy.
 func (e *engine) released() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,7 +58,7 @@
 	return e
 }
 
-// crash breaks the answers that are under way; what comes later is served.
+// crash breaks off the answers in progress; later requests are served.
 func (e *engine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// ordered returns how many orders to copy or to release a copy have come.
+// ordered returns the number of commands to copy or to release a copy.
 func (e *engine) ordered() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,7 +149,7 @@
 	return b.String()
 }
 
-// leave marks an engine as leaving, as its own record does.
+// leave marks an engine as leaving by an update of its record.
 func (f *fixture) leave(id string) {
 	for _, r := range f.records {
 		if r.Name == id {
@@ -168,14 +168,14 @@
 	}
 }
 
-// A broken stream must not look whole, and no part of an event is passed on.
+// A broken stream must not look complete, and no part of an event may be passed on.
 func TestBrokenStreamIsCutAtAnEvent(t *testing.T) {
 	f := newFixture(t)
 	e, other := f.addEngine("e"), f.addEngine("other")
 	e.breakAfter, other.breakAfter = 5, 5
 	got := f.ask(pathStream)
 	if got.err == nil {
-		t.Error("a broken stream looks whole")
+		t.Error("a broken stream looks complete")
 	}
 	if want := wholeStream()[:strings.Index(wholeStream(), "id: 6\n")]; got.body != want {
 		t.Errorf("the caller got %q, want the first five events", got.body)
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestResumableStreamResumesElsewhere(t *testing.T) {
 	f := newFixture(t)
 	for _, id := range []string{"a", "b", "c"} {
 		f.addEngine(id).breakAfter = 7
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestEngineThatDidNotRunItIsLeftOut(t *testing.T) {
+func TestRefusedStreamGoesToAnotherEngine(t *testing.T) {
 	f := newFixture(t)
 	f.add("llm", "full", serveNotRun)
 	f.addEngine("e")
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestMove covers a generation on an engine that leaves: every event reaches the
-// caller once and in order, or the stream is visibly cut.
+// Every event of a generation on a leaving engine must reach the caller once and in order, or the
+// stream must visibly break off.
 func TestMove(t *testing.T) {
 	copied := func(handle string) protocol.CopyResult { return protocol.CopyResult{Handle: handle} }
 	no := func(o protocol.CopyOutcome, handle string) protocol.CopyResult {
@@ -222,12 +222,12 @@
 		orders int
 		from   string
 	}{
-		{"it goes on at the first copy", []protocol.CopyResult{copied("h1"), copied("h2")}, 0, true, 2, "h1"},
-		{"the second copy serves when the first is refused", []protocol.CopyResult{copied("h1"), copied("h2")}, 1, true, 2, "h2"},
-		{"another target when one has no room", []protocol.CopyResult{no(protocol.NoRoom, ""), copied("h1"), copied("h2")}, 0, true, 3, "h1"},
-		{"a busy order is repeated", []protocol.CopyResult{no(protocol.CopyUnderWay, ""), copied("h1"), copied("h2")}, 0, true, 3, "h1"},
-		{"no room anywhere leaves it where it is", []protocol.CopyResult{no(protocol.NoRoom, "")}, 0, true, 2, ""},
-		{"a generation that ended meanwhile", []protocol.CopyResult{no(protocol.NoSuchRun, "")}, 0, true, 1, ""},
+		{"the stream resumes from the first copy", []protocol.CopyResult{copied("h1"), copied("h2")}, 0, true, 2, "h1"},
+		{"the stream resumes from the second copy when the first is refused", []protocol.CopyResult{copied("h1"), copied("h2")}, 1, true, 2, "h2"},
+		{"another target is tried when one has no room", []protocol.CopyResult{no(protocol.NoRoom, ""), copied("h1"), copied("h2")}, 0, true, 3, "h1"},
+		{"the command is repeated when another copy is in progress", []protocol.CopyResult{no(protocol.CopyUnderWay, ""), copied("h1"), copied("h2")}, 0, true, 3, "h1"},
+		{"the stream stays when no target has room", []protocol.CopyResult{no(protocol.NoRoom, "")}, 0, true, 2, ""},
+		{"the generation has ended meanwhile", []protocol.CopyResult{no(protocol.NoSuchRun, "")}, 0, true, 1, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -250,10 +250,10 @@
 			source.mu.Lock()
 			defer source.mu.Unlock()
 			if len(source.orders) != tc.orders {
-				t.Errorf("orders %v, want %d", source.orders, tc.orders)
+				t.Errorf("copy commands %v, want %d", source.orders, tc.orders)
 			}
 			if from := f.goneOnFrom(engines, first); from != tc.from {
-				t.Errorf("went on from copy %q, want %q", from, tc.from)
+				t.Errorf("resumed from copy %q, want %q", from, tc.from)
 			}
 		})
 	}
@@ -272,7 +272,7 @@
 	return ""
 }
 
-// goneOnFrom returns the copy from which the stream went on in the end.
+// goneOnFrom returns the copy from which the stream was last resumed.
 func (f *fixture) goneOnFrom(engines map[string]*engine, first string) string {
 	from := ""
 	for id, e := range engines {
@@ -286,8 +286,7 @@
 	return from
 }
 
-// A generation whose engine is found to leave only when its first event comes
-// is moved as well.
+// A generation whose engine began to leave before the first event must be moved as well.
 func TestMoveOfAStreamThatBeginsOnALeavingEngine(t *testing.T) {
 	f := newFixture(t)
 	a := f.addEngine("a")
@@ -324,8 +323,8 @@
 	}
 }
 
-// An engine that fails at once looks idle. One failure must be enough for
-// generations that may not be sent again to go elsewhere.
+// An engine that fails at once looks idle and attracts requests. Since the generations may not be
+// repeated, one failure has to suffice for the others to go to another engine.
 func TestEngineThatFailsAtOnceGetsOneGeneration(t *testing.T) {
 	f := newFixture(t)
 	bad := f.add("llm", "bad", serveError)
@@ -338,30 +337,31 @@
 		}
 	}
 	if failed > 1 || bad.runs() > 1 {
-		t.Errorf("%d generations failed, %d reached the faulty engine, want at most 1", failed, bad.runs())
+		t.Errorf("%d generations failed, %d reached the failing engine, want at most 1", failed, bad.runs())
 	}
 	if good.runs() < 29 {
-		t.Errorf("%d generations reached the sound engine, want the rest", good.runs())
+		t.Errorf("%d generations reached the other engine, want at least 29", good.runs())
 	}
 }
 
-// An engine that takes requests and begins none is found out by the first one.
+// An engine that accepts requests but begins none has to become a suspect with the first one,
+// unless it reports prompts being read or requests waiting.
 func TestEngineThatStaysSilentGetsNoMore(t *testing.T) {
 	for _, tc := range []struct {
 		name, report string
 		suspected    bool
 	}{
-		{"it tells nothing", "", true},
-		{"it says that nothing waits", "serving", true},
-		{"it says that it reads", "reading", false},
-		{"it says that requests wait", "waiting", false},
+		{"no report", "", true},
+		{"it reports no waiting requests", "serving", true},
+		{"it reports that it reads prompts", "reading", false},
+		{"it reports waiting requests", "waiting", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) { testSilentEngine(t, tc.report, tc.suspected) })
 	}
 }
 
-// testSilentEngine lets an engine take a generation and begin nothing. It answers a
-// question for its state with a text, or not at all.
+// testSilentEngine lets an engine accept a generation and not begin it. The engine answers state
+// queries with report, or not at all if report is empty.
 func testSilentEngine(t *testing.T, report string, suspected bool) {
 	t.Helper()
 	f := newFixture(t)
@@ -391,7 +391,7 @@
 	deadline := time.Now().Add(5 * time.Second)
 	for !f.noted(events.StreamStartsLate) {
 		if time.Now().After(deadline) {
-			t.Fatal("nobody noted that the generation does not begin")
+			t.Fatal("the late start of the generation is not logged")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -408,10 +408,10 @@
 	}
 }
 
-// An engine that was late began while it was asked why. Its answer came after the first
-// event and told that nothing waits, and it was a suspect of all entries for that: a timer
-// that is stopped does not end what it has begun.
-func TestEngineThatBeginsWhileItIsAskedIsNoSuspect(t *testing.T) {
+// An engine that begins a generation late, while its state is being queried, must not become a
+// suspect. Its report arrives after the first event and states that nothing waits. Stopping the
+// timer that triggers the query does not cancel a query in progress.
+func TestEngineThatBeginsDuringStateQueryIsNoSuspect(t *testing.T) {
 	f := newFixture(t)
 	asked, passed := make(chan struct{}), make(chan struct{})
 	f.add("llm", "late", func(w http.ResponseWriter, r *http.Request) {
@@ -444,34 +444,34 @@
 	close(passed)
 	for deadline := time.Now().Add(2 * inquireWithin); !f.noted(events.UpstreamAsked); {
 		if time.Now().After(deadline) {
-			t.Fatal("the engine's answer is not noted")
+			t.Fatal("the engine's report is not logged")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	// What follows the answer is a few instructions away.
+	// The gateway acts on the report within a few instructions after it logs it.
 	time.Sleep(20 * time.Millisecond)
 	if got := len(f.fleet.Faults()); got != 0 {
 		t.Errorf("other entries are told of %d faults", got)
 	}
 }
 
-// Targets of moves are drawn: entries that see the same load must not all send
-// their copies to one engine.
+// Targets of moves are drawn at random, so that entries that know the same loads do not all send
+// their copies to the same engine.
 func TestTargetsOfMovesAreSpread(t *testing.T) {
 	testTargetsAreSpread(t, func(i int) gossip.Load { return gossip.Load{Running: 1, Tokens: 1000 * i, Held: 1000 * i} })
 }
 
-// Streams end one by one, so an engine whose streams would not fit if all became as
-// long as expected is a target as long as there is room now: else a crowded service
-// has no targets, and all entries send their copies to the one that is fullest last.
-func TestTargetsOfMovesAreJudgedByWhatIsHeld(t *testing.T) {
+// An engine has to be a target as long as it has room now, even if its streams would not fit when
+// all of them reach their expected length: they end one by one. Otherwise a service under high load
+// has no targets, and all entries send their copies to the last engine that fills up.
+func TestTargetsOfMovesAreJudgedByHeldTokens(t *testing.T) {
 	testTargetsAreSpread(t, func(i int) gossip.Load {
 		return gossip.Load{Running: 6, Tokens: 99000 + 1000*i, Held: 60000 + 1000*i}
 	})
 }
 
-// testTargetsAreSpread draws targets among seven engines of a zone with a load, an
-// eighth one without room and eight of another zone.
+// testTargetsAreSpread draws targets among eight engines of the source's zone and eight of another
+// zone. Seven engines of the source's zone have the given loads, and the eighth has no room.
 func testTargetsAreSpread(t *testing.T, load func(i int) gossip.Load) {
 	t.Helper()
 	f := newFixture(t)
@@ -507,8 +507,8 @@
 	}
 }
 
-// A copy that is complete after its generation has ended holds memory of its
-// engine until it is given up.
+// A copy that is completed after its generation has ended occupies memory of its engine, so it
+// must be released.
 func TestCopyOfAnEndedGenerationIsReleased(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.addEngine("a"), f.addEngine("b")
@@ -518,7 +518,7 @@
 	target, _ := f.fleet.Get("b")
 	s := &stream{g: f.gateway, ended: true, at: from, rq: &request{call: protocol.Call{ID: "r"}, caller: t.Context(), service: &routetable.Service{Name: "llm", Engine: &routetable.Engine{}}}}
 	if f.gateway.moveTo(s, from, target) {
-		t.Error("another target is asked for")
+		t.Error("another target would be tried")
 	}
 	deadline := time.Now().Add(5 * time.Second)
 	for released := false; !released; {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -43,9 +43,9 @@
 mutant placement-kept-room $placement/room.go 's/usable = float64\(e\.MemoryTokens\)/_ = e.Slots/' internal/placement TestRoom
 mutant placement-waiting-prompts $placement/room.go 's/return ErrPrompts/return nil/' internal/placement TestRoom
 mutant gateway-silent-load $gateway/gateway.go 's/g\.ledger\.keepPeers\(func/_ = peers\n\t_ = (func/' $gateway TestLoadOfSilentEntries
-mutant gateway-stop-longest $gateway/request.go 's/g\.pace\.rest\(rq\.call\.MaxOutput,/g.pace.rest(rq.call.Hint,/' $gateway TestStoppingGatewayDoubtsTheHint
+mutant gateway-stop-longest $gateway/request.go 's/g\.pace\.rest\(rq\.call\.MaxOutput,/g.pace.rest(rq.call.Hint,/' $gateway TestStoppingGatewayIgnoresTheHint
 mutant gateway-back-after-stop $gateway/stop.go 's/case s\.far:/case false:/' $gateway TestBackAfterStop
-mutant gateway-stop-answers $gateway/stop.go 's/\ttime\.AfterFunc\(end\.Add\(-AnswerSpare\)[^\n]*\n//' $gateway TestStopAnswersWhatIsInFlight
+mutant gateway-stop-answers $gateway/stop.go 's/\ttime\.AfterFunc\(end\.Add\(-AnswerSpare\)[^\n]*\n//' $gateway TestStopAnswersRequestsInFlight
 mutant gateway-half-closed $gateway/request.go 's/\tg\.proto\.Refuse\(rq\.w, &rq\.call, protocol\.Refusal\{Status: status, Reason: reason\}, g\.now\(\)\)\n\}/\tpanic(http.ErrAbortHandler)\n}/' $gateway TestCallerThatOnlyStopsSending
 
 connlimit=internal/connlimit
@@ -58,7 +58,7 @@
 mutant connection-accepting $connlimit/connlimit.go 's/\t\t\t<-listener\.ended\n/\t\t\t_ = listener.ended\n/' $connlimit TestDrainWaits
 mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestStopThatIsLate
 mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerThatIsThere|TestUpstreamsFailureGoes'
-mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestFaultOfThisProgram
+mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestPanicIsAnswered
 mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsComeBack
 mutant placement-overload-age $placement/overload.go 's/min\(ageOfShare\*share, 1\)/0*share/' internal/placement TestOverloadTells
 mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestWhoIsBlamed
@@ -79,7 +79,7 @@
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.firstHand && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
 mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRoutesOnlyGoUp
 
-mutant placement-old-news $placement/spread.go 's/unheardMargin \* z\.rate/0 * z.rate/' $gateway TestOldNews
+mutant placement-old-news $placement/spread.go 's/unheardMargin \* z\.rate/0 * z.rate/' $gateway TestStaleLoads
 mutant relay-hold-end internal/relay/server.go 's/\t\t\tover = true/\t\t\treturn l.encode(a, asked), nil/' internal/relay TestAnswerTellsTheLatest
 mutant relay-turns internal/relay/store.go 's/if self \|\| s\.turn\(\) \{/if self || s.turn() || true {/' internal/relay TestTurnsAtTheStore
 mutant relay-second-delegate internal/relay/store.go 's/for range maxAsked \{\n\t\tvar p Peer/for range 1 {\n\t\tvar p Peer/' internal/relay TestAnotherDelegate
@@ -150,12 +150,12 @@
 mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[startID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.present[name].ID] {/' internal/fleet TestNewsOfAnEarlierStart
 mutant start-version-kept internal/daemon/upstreamrows.go 's/\t\tr\.Version = row\.Version\n//' internal/daemon TestUpstreamChangesKeep
 mutant start-removal-version internal/daemon/upstreamrows.go 's/, Version: row\.Version\}\)/})/' internal/daemon TestUpstreamChangesKeep
-mutant start-report $gateway/inquire.go 's/ && state\.Born != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherStart
-mutant start-copy-target $gateway/move.go 's/if !g\.there\(target\.ID\) \{/if false {/' $gateway TestCopyUnderWayToAStart
-mutant start-orders $gateway/move.go 's/if !g\.there\(from\.ID\) \{/if false {/' $gateway TestNothingIsMovedFromAStart
-mutant start-release $gateway/move.go 's/if !g\.there\(held\.at\.ID\) \{/if false {/' $gateway TestCopiesHeldAtAStart
-mutant start-copies $gateway/continue.go 's/if s\.g\.there\(held\.at\.ID\) \{/if true {/' $gateway TestCopiesHeldAtAStart
-mutant start-wire-name $gateway/request.go 's/Upstream: u\.Name,/Upstream: u.ID,/' $gateway TestCallsAtAStart
+mutant start-report $gateway/inquire.go 's/ && state\.Born != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
+mutant start-copy-target $gateway/move.go 's/if !g\.there\(target\.ID\) \{/if false {/' $gateway TestCopyToAnEndedIncarnation
+mutant start-orders $gateway/move.go 's/if !g\.there\(from\.ID\) \{/if false {/' $gateway TestNothingIsMovedFromAnEndedIncarnation
+mutant start-release $gateway/move.go 's/if !g\.there\(held\.at\.ID\) \{/if false {/' $gateway TestCopiesHeldByAnEndedIncarnation
+mutant start-copies $gateway/continue.go 's/if s\.g\.there\(held\.at\.ID\) \{/if true {/' $gateway TestCopiesHeldByAnEndedIncarnation
+mutant start-wire-name $gateway/request.go 's/Upstream: u\.Name,/Upstream: u.ID,/' $gateway TestCallsToAnEndedIncarnation
 mutant start-row platform/upstreams.go 's/Born: f\.born\(\), //' platform TestBirthInARow
 mutant start-reported platform/engine.go 's/\t\tBorn:    r\.Born,\n//' platform TestBirthInAReport
 
@@ -219,8 +219,8 @@
 mutant stop-noticed-late internal/daemon/gatewayhttp.go 's/told, earliest = b\.watch\.earliest\(\), /told, earliest = time.Now(), /' internal/daemon TestToldToStop
 mutant stop-in-pieces internal/daemon/runlag.go 's/look\.late$/false/m; s/late = look\.late/late = false/' internal/daemon TestRunLag
 mutant stop-lag-asked internal/daemon/gatewayhttp.go 's/, b\.lag\.earliest\(\)$/, time.Now()/m' internal/daemon TestToldToStop
-mutant stop-gives-up-late internal/gateway/stop.go 's/time\.AfterFunc\(end\.Add/time.AfterFunc(last.Add/' internal/gateway TestStopGivesUpLaterThanItTakes
-mutant stop-takes-by-last internal/gateway/stop.go 's/g\.stopBy\.Set\(last\)/g.stopBy.Set(end)/' internal/gateway TestStopGivesUpLaterThanItTakes
+mutant stop-gives-up-late internal/gateway/stop.go 's/time\.AfterFunc\(end\.Add/time.AfterFunc(last.Add/' internal/gateway TestDrainUntilKeepsRequestsInFlight
+mutant stop-takes-by-last internal/gateway/stop.go 's/g\.stopBy\.Set\(last\)/g.stopBy.Set(end)/' internal/gateway TestDrainUntilKeepsRequestsInFlight
 mutant stop-waits-entry internal/daemon/entry.go 's/if !b\.entry\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/entry_stop'
 mutant stop-waits-sidecar internal/daemon/sidecar.go 's/if !b\.server\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/leaving'
 mutant stop-waits-gateway internal/daemon/gatewayhttp.go 's/if err := b\.callers\.connections\.Drain\(served\); err != nil \{/if err := served.Err(); err != nil {/' internal/daemon TestStopAnswersWhatWasRead
@@ -292,10 +292,10 @@
 mutant named-bounded $members 's/case !known && pending < mostNamed:/case !known:/' internal/gossip TestPeerThatClaims
 mutant named-forgotten $members 's/\t\t\tdelete\(n\.peers, name\)\n/\t\t\t_ = name\n/' internal/gossip TestPeerThatClaims
 
-mutant answer-leaving $gateway/notice.go 's/if n\.Leaving && g\.fleet\.AnsweredLeaving\(from\.ID\)/if false \&\& g.fleet.AnsweredLeaving(from.ID)/' internal/gateway TestUpstreamThatSaidItLeaves
-mutant answer-rest $gateway/notice.go 's/if !n\.BackOffUntil\.IsZero\(\)/if false/' internal/gateway TestUpstreamThatAskedForRest
-mutant rest-candidate $gateway/choose.go 's/ && !u\.InBackOff\(now\) \{/ {/' internal/gateway TestAllUpstreamsRest
-mutant rest-at-once $gateway/permit.go 's/if err != nil && g\.allInBackOff\(service, exclude\)/if false/' internal/gateway TestAllUpstreamsRest
+mutant answer-leaving $gateway/notice.go 's/if n\.Leaving && g\.fleet\.AnsweredLeaving\(from\.ID\)/if false \&\& g.fleet.AnsweredLeaving(from.ID)/' internal/gateway TestUpstreamThatAnnouncesLeaving
+mutant answer-rest $gateway/notice.go 's/if !n\.BackOffUntil\.IsZero\(\)/if false/' internal/gateway TestUpstreamInBackOffGetsNoRequests
+mutant rest-candidate $gateway/choose.go 's/ && !u\.InBackOff\(now\) \{/ {/' internal/gateway TestAllUpstreamsInBackOff
+mutant rest-at-once $gateway/permit.go 's/if err != nil && g\.allInBackOff\(service, exclude\)/if false/' internal/gateway TestAllUpstreamsInBackOff
 mutant rest-latest internal/fleet/backoff.go 's/m\.backOff = later\(m\.backOff, (.*)\)\n/m.backOff = $1\n/' internal/fleet TestLatestRestHolds
 mutant rest-one internal/fleet/backoff.go 's/m\.InBackOff\(s\.now\(\)\) && m\.backOffUsed/false/' internal/fleet TestOneRequestDuringARest
 mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(ReturnEach\)\n//' internal/placement TestCallersComeBackInOrder
@@ -339,6 +339,6 @@
 mutant held-peers internal/quarantine/suspect.go 's/within = newsWithin/within = 0/' $held TestSoundRequestHeldBefore
 mutant held-bystanders internal/quarantine/verdict.go 's/len\(ends\) > 1 && !o\.covers\(u, other\)/len(ends) > 1/' $held TestRequestNotHeld
 
-mutant answer-cancelled internal/link/link.go 's/if c\.heard\.Load\(\) \|\| /if true || /' internal/gateway TestAnswerOfATryThatLost
+mutant answer-cancelled internal/link/link.go 's/if c\.heard\.Load\(\) \|\| /if true || /' internal/gateway TestNoticeInAnswerOfLosingAttempt
 
 finish
