--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -15,7 +15,7 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// attempt sends the generation to an engine and relays its answer.
+// attempt sends the generation to an engine and relays the engine's answer to the caller.
 func (s *stream) attempt(ctx context.Context, st step) outcome {
 	g, rq := s.g, s.rq
 	a := rq.attempt(st.at)
@@ -30,27 +30,28 @@
 	s.enter(st)
 	defer s.leave()
 	rq.run.SentTo(st.at.ID)
-	sent := g.now()
+	sentAt := g.now()
 	toRead := s.toRead
-	var begun atomic.Bool
-	silent := time.AfterFunc(startWithin(rq.route), func() { g.startsLate(rq, st.at, toRead, &begun) })
-	defer silent.Stop()
+	var started atomic.Bool
+	startTimer := time.AfterFunc(startWithin(rq.route), func() { g.startsLate(rq, st.at, toRead, &started) })
+	defer startTimer.Stop()
 	answer, err := g.exchange(ctx, st.at, req)
 	if err != nil {
 		return s.noAnswer(ctx, st, err)
 	}
 	defer answer.Close()
-	g.heardLimit(rq, st.at, head{sent: sent, header: answer.Header, whole: answer.Status == http.StatusOK && g.proto.Complete(answer.Status, answer.Header)})
+	g.heardLimit(rq, st.at, head{sent: sentAt, header: answer.Header, whole: answer.Status == http.StatusOK && g.proto.Complete(answer.Status, answer.Header)})
 	if o, done := s.judge(ctx, st, answer); done {
 		return o
 	}
-	return s.relay(ctx, st, answer, sent, func() {
-		begun.Store(true)
-		silent.Stop()
+	return s.relay(ctx, st, answer, sentAt, func() {
+		started.Store(true)
+		startTimer.Stop()
 	})
 }
 
-// startWithin is the time by which a sound engine has begun a generation.
+// startWithin returns the time within which a healthy engine starts a generation: the route's
+// objective, or defaultStart if there is none.
 func startWithin(route *routetable.Route) time.Duration {
 	if route.Objective > 0 {
 		return route.Objective
@@ -58,42 +59,42 @@
 	return defaultStart
 }
 
-// crowdedMemory is the part of an engine's memory beyond which a late start is laid to
-// the memory: what waits there has to find as much as its prompt takes.
+// crowdedMemory is the fraction of an engine's memory above which a late start is attributed to
+// memory: a queued generation waits until as much memory is free as its prompt takes.
 const crowdedMemory = 0.94
 
-// startsLate notes that an engine has not begun a generation in time. That is a
-// fault unless the prompts that it had to read before, or the memory that is taken,
-// explain it, or the engine itself reports that requests wait or are being read: at one
-// and a half times the load for which the engines suffice, 41 late starts behind such
-// queues made sound engines suspects of all entries. begun tells that the generation has
-// begun while the engine was asked.
-func (g *Gateway) startsLate(rq *request, at fleet.Upstream, toRead int, begun *atomic.Bool) {
+// startsLate handles a generation that the engine has not started within startWithin. It marks
+// the engine as faulty unless the delay is explained by the prompts that the engine had to read
+// first, by its memory use, or by its own report of waiting requests or of prompts being read.
+// Without the report, at one and a half times the load that the engines can carry, 41 late starts
+// behind such queues made all entries treat healthy engines as faulty. started is set once the
+// generation has started, which may happen while the engine is asked for its report.
+func (g *Gateway) startsLate(rq *request, at fleet.Upstream, toRead int, started *atomic.Bool) {
 	upstream := at.ID
 	load := g.ledger.total(upstream)
-	reading := g.reading.expected(toRead)
-	queued := toRead > rq.call.Prompt && reading > startWithin(rq.route)/2
+	prefillTime := g.reading.expected(toRead)
+	queued := toRead > rq.call.Prompt && prefillTime > startWithin(rq.route)/2
 	memory := rq.service.Engine.MemoryTokens
 	full := memory > 0 && load.Held > int(crowdedMemory*float64(memory))
 	crowded := queued || full
-	g.rec.Note(events.StreamStartsLate, rq.call.ID, "upstream", upstream, "after", g.now().Sub(rq.start), "reading", reading, "held", load.Held, "crowded", crowded)
+	g.rec.Note(events.StreamStartsLate, rq.call.ID, "upstream", upstream, "after", g.now().Sub(rq.start), "reading", prefillTime, "held", load.Held, "crowded", crowded)
 	if u, known := g.fleet.Get(upstream); crowded || known && u.InBackOff(g.now()) {
 		return
 	}
-	// An engine that does not tell is judged by its silence.
-	state, err := g.ask(context.Background(), at, "a generation begins late")
-	if !begun.Load() && (err != nil || state.Waiting+state.Unbegun == 0) {
+	// Without a report, the late start alone decides.
+	state, err := g.ask(context.Background(), at, "a generation starts late")
+	if !started.Load() && (err != nil || state.Waiting+state.Unbegun == 0) {
 		g.faulty(upstream)
 	}
 }
 
-// faulty notes a fault of an engine and tells the other entries soon.
+// faulty marks an engine as faulty and tells the other entries without delay.
 func (g *Gateway) faulty(upstream string) {
 	g.fleet.Note(upstream, fleet.Faulty)
 	g.others.Urge()
 }
 
-// noteAttempt writes what decided where the generation goes.
+// noteAttempt logs the choice of an engine and the data that it was based on.
 func (s *stream) noteAttempt(st step) {
 	g, rq := s.g, s.rq
 	load := g.ledger.total(st.at.ID)
@@ -103,13 +104,13 @@
 		"after-event", s.lastEvent, "routes", rq.table.Version(), "routes-age", rq.age)
 }
 
-// judge reads the head of an answer; done is false when events follow.
+// judge evaluates the head of an answer. done is false if an event stream follows.
 func (s *stream) judge(ctx context.Context, st step, answer *link.Answer) (o outcome, done bool) {
 	g, rq := s.g, s.rq
 	switch g.proto.Verdict(answer.Status, answer.Header) {
 	case protocol.NotRun:
 		g.busy(st.at.ID, answer.Header)
-		g.rec.Note(events.RequestRetried, rq.call.ID, "upstream", st.at.ID, "status", answer.Status, "why", "the engine did not run it")
+		g.rec.Note(events.RequestRetried, rq.call.ID, "upstream", st.at.ID, "status", answer.Status, "why", "the engine did not run the request")
 		return streamUnrun, true
 	case protocol.WrongUpstream:
 		g.fleet.MarkLeaving(st.at.ID, "another upstream has its address")
@@ -127,7 +128,7 @@
 	return streamWhole, false
 }
 
-// noAnswer handles an attempt without the head of an answer.
+// noAnswer handles an attempt that ended before the head of an answer arrived.
 func (s *stream) noAnswer(ctx context.Context, st step, err error) outcome {
 	if ctx.Err() == nil {
 		s.g.fleet.Note(st.at.ID, fleet.Broken)
@@ -141,10 +142,12 @@
 	return streamBroken
 }
 
-// failed handles an engine's own failure. Before the first event it is passed
-// on; after it, the answer cannot become a failure any more.
+// failed handles an error response of the engine. Before the first event of an answer, the
+// response is passed on to the caller unless the generation is retried. Later the caller has
+// already received a success status, so the attempt counts as broken.
 func (s *stream) failed(ctx context.Context, st step, answer *link.Answer) outcome {
-	// A time limit that passed at the engine is no fault of it, nor is that it asks to back off.
+	// A 504, which says that the time limit passed at the engine, is not a fault of the engine,
+	// nor is a request to back off.
 	if answer.Status >= http.StatusInternalServerError && answer.Status != http.StatusGatewayTimeout && !s.g.asksBackOff(answer.Status, answer.Header) {
 		s.g.faulty(st.at.ID)
 	}
@@ -155,8 +158,8 @@
 	if err == nil {
 		s.rq.run.Served()
 	}
-	again := s.rq.route.Repeats() && s.rq.tries < s.rq.route.MaxAttempts && answer.Status >= http.StatusInternalServerError
-	if s.began || err != nil || again && ctx.Err() == nil {
+	retryable := s.rq.route.Repeats() && s.rq.tries < s.rq.route.MaxAttempts && answer.Status >= http.StatusInternalServerError
+	if s.began || err != nil || retryable && ctx.Err() == nil {
 		return streamBroken
 	}
 	s.g.passOn(s.rq, result{upstream: st.at.ID, status: answer.Status, header: answer.Header, body: body})
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -17,27 +17,26 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
-// maxSends bounds the upstreams that one request is offered to when each states
-// that it did not run it.
+// maxSends limits to how many upstreams a request is sent if each of them answers that it did not
+// run it.
 const maxSends = 3
 
-// hedgeShare is the part of a route's objective after which a request that may
-// run twice goes to a second upstream: the answer then still comes in time.
+// hedgeShare is the fraction of a route's objective after which a hedge is sent: a request that
+// may be repeated goes to a second upstream too, early enough for an answer within the objective.
 const hedgeShare = 0.45
 
-// hedgeReserve is the part of the retry budget that hedges leave for retries
-// after failures.
+// hedgeReserve is the fraction of the retry budget that hedges leave for retries after failures.
 const hedgeReserve = 0.5
 
-// maxBuffered bounds in bytes the answer that is held back until it is whole;
-// a longer one is refused as broken.
+// maxBuffered limits the size in bytes of an answer that is buffered until it is complete. A
+// longer answer counts as broken.
 const maxBuffered = 8 << 20
 
-// lastLookWithin bounds the wait for attempts whose time is over: they return at once, unless the
-// process does not get to run.
+// lastLookWithin limits the wait for running attempts once the deadline has passed. They return
+// at once unless the process gets no CPU time.
 const lastLookWithin = 50 * time.Millisecond
 
-// result is how one attempt of a plain call ended.
+// result is the outcome of one attempt of a plain call.
 type result struct {
 	upstream string
 	status   int
@@ -47,10 +46,10 @@
 	err      error
 }
 
-// usable reports whether there is an answer and it can be passed on.
+// usable reports whether there is an answer that can be passed on to the caller.
 func (r result) usable() bool { return r.status != 0 && r.err == nil && r.verdict == protocol.Ran }
 
-// good reports whether nothing better can be had from another upstream.
+// good reports whether the answer is usable and another upstream could not give a better one.
 func (r result) good() bool {
 	return r.usable() && r.status < http.StatusInternalServerError
 }
@@ -63,17 +62,17 @@
 	return r.verdict == protocol.Ran
 }
 
-// serveCall serves a request for a plain service.
+// serveCall serves a request for a plain service, that is, a service without model engines.
 func (g *Gateway) serveCall(ctx context.Context, rq *request) {
 	c := &callRun{g: g, rq: rq, tried: map[string]bool{}, results: make(chan result, maxSends+1)}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	last, ok := c.run(ctx)
+	best, ok := c.run(ctx)
 	switch {
-	case ok && last.usable():
-		g.passOn(rq, last)
-	case ok && last.err != nil:
-		g.giveUp(ctx, rq, "the upstream's answer did not come: "+last.err.Error())
+	case ok && best.usable():
+		g.passOn(rq, best)
+	case ok && best.err != nil:
+		g.giveUp(ctx, rq, "the upstream's answer did not come: "+best.err.Error())
 	case len(c.tried) == 0 && ctx.Err() != nil:
 		g.giveUp(ctx, rq, "no upstream took it in time")
 	case len(c.tried) == 0 && rq.run.Isolation() == quarantine.Apart:
@@ -87,21 +86,21 @@
 	}
 }
 
-// callRun is a plain call while it is tried.
+// callRun is the state of a plain call and its attempts.
 type callRun struct {
 	g       *Gateway
 	rq      *request
 	tried   map[string]bool
 	running int
 	results chan result
-	// failed are the upstreams that answered with an error of their own.
+	// failed lists the upstreams that answered with a server error and did not ask to back off.
 	failed []string
-	// limited is the error of the latest choice if it found no upstream because of limits or back-off.
+	// limited is the error of the latest choice if rate limits or back-off left no upstream.
 	limited error
 }
 
-// run tries upstreams until one gives a good answer or no more may be tried. It
-// returns the best answer there was.
+// run sends the request to upstreams until one gives a good answer or no further attempt is
+// allowed. It returns the best answer.
 func (c *callRun) run(ctx context.Context) (best result, ok bool) {
 	if !c.launch(ctx, "first") {
 		return result{}, false
@@ -132,7 +131,7 @@
 	}
 }
 
-// take notes the end of an attempt and reports whether its answer is the one to give.
+// take records the end of an attempt and reports whether its answer is good.
 func (c *callRun) take(r result) bool {
 	c.running--
 	c.rq.sent = c.rq.sent || r.mayHaveRun()
@@ -142,13 +141,13 @@
 	return r.good()
 }
 
-// atTheEnd returns the best answer that is there when the time is over, if there is any:
-// an answer and the end of the time are due at once in a process that did not get to run
-// for a while, and an upstream's own failure says more than that the time is over. Attempts
-// under way take a last look at what has come.
+// atTheEnd returns the best answer at the deadline. In a process that got no CPU time for a
+// while, an answer and the deadline become due at the same moment, and the answer is preferred.
+// An upstream's error is preferred too, since it tells the caller more than a timeout does.
+// Running attempts get lastLookWithin to return an answer that has already arrived.
 func (c *callRun) atTheEnd(ctx context.Context, best result) result {
-	wait := time.NewTimer(lastLookWithin)
-	defer wait.Stop()
+	timer := time.NewTimer(lastLookWithin)
+	defer timer.Stop()
 	for c.running > 0 {
 		select {
 		case r := <-c.results:
@@ -159,7 +158,7 @@
 				best = r
 			}
 			continue
-		case <-wait.C:
+		case <-timer.C:
 		}
 		break
 	}
@@ -170,10 +169,9 @@
 	return result{err: ctx.Err()}
 }
 
-// blame tells the fleet which upstreams failed the request; served says that another
-// one did better. If several failed it and none served it, that is taken for the
-// request's own fault: half of the failing calls of the users' services fail at
-// every upstream.
+// blame reports to the fleet which upstreams failed the request. served says that another
+// upstream answered it. If several upstreams failed it and none served it, the request itself
+// counts as the cause: half of the failing calls to the users' services fail at every upstream.
 func (c *callRun) blame(served bool) {
 	if len(c.failed) > 1 && !served {
 		return
@@ -183,7 +181,7 @@
 	}
 }
 
-// again starts another attempt after one that failed, if that is allowed.
+// again starts another attempt after a failed one if that is allowed.
 func (c *callRun) again(ctx context.Context, r result) bool {
 	if ctx.Err() != nil {
 		return false
@@ -197,7 +195,7 @@
 	return c.launch(ctx, "retry")
 }
 
-// hedge sends a slow request to a second upstream as well.
+// hedge sends a slow request to a second upstream too.
 func (c *callRun) hedge(ctx context.Context) {
 	if !c.rq.route.Repeats() || c.rq.tries >= c.rq.route.MaxAttempts || c.running == 0 || c.rq.run.Suspected() {
 		return
@@ -210,7 +208,7 @@
 	}
 }
 
-// launch sends the request to the best upstream that has not had it.
+// launch sends the request to the best upstream that it has not been sent to.
 func (c *callRun) launch(ctx context.Context, reason string) bool {
 	u, err := c.choose(ctx)
 	c.limited = nil
@@ -221,7 +219,8 @@
 		return false
 	}
 	if c.g.limits.Any() || c.g.fleet.AnyBackOff() {
-		// Callers that are refused come back the later the smaller the part that is not.
+		// Counted because the retry delay of refused callers grows as the share of admitted requests
+		// falls.
 		c.g.overload(c.rq.service.Name).Admitted(c.g.now())
 	}
 	c.rq.run.SentTo(u.ID)
@@ -242,8 +241,9 @@
 	return true
 }
 
-// choose returns the best upstream that has not had the request, with a permit to send it. An
-// attempt beside others waits for none: the answer of another one must not wait with it.
+// choose returns the best upstream that the request has not been sent to, with a permit for it.
+// If other attempts are running, it does not wait for a permit, since that would delay their
+// answers.
 func (c *callRun) choose(ctx context.Context) (fleet.Upstream, error) {
 	service, exclude, until := c.rq.service.Name, c.g.isolated(c.rq, c.tried), c.rq.waitsUntil()
 	if c.running > 0 {
@@ -258,8 +258,8 @@
 	})
 }
 
-// attempt sends the request once. A fault of this program fails the attempt; it would end
-// the process otherwise, with every request in it.
+// attempt sends the request once. A panic fails only this attempt; unrecovered, it would end the
+// process and all requests in it.
 func (c *callRun) attempt(ctx context.Context, u fleet.Upstream) (r result) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -272,8 +272,8 @@
 
 // tryCall sends the request once and reads the whole answer.
 func (g *Gateway) tryCall(ctx context.Context, rq *request, u fleet.Upstream) result {
-	sent := g.now()
-	req := g.proto.Forward(&rq.call, rq.attempt(u), sent)
+	sentAt := g.now()
+	req := g.proto.Forward(&rq.call, rq.attempt(u), sentAt)
 	req.Body = rq.body
 	a, err := g.exchange(ctx, u, req)
 	if err != nil {
@@ -294,11 +294,11 @@
 	if r.err != nil {
 		g.rec.Note(events.AnswerRejected, rq.call.ID, "upstream", u.ID, "status", a.Status, "error", r.err)
 	}
-	g.heardLimit(rq, u, head{sent: sent, header: a.Header, whole: r.good()})
+	g.heardLimit(rq, u, head{sent: sentAt, header: a.Header, whole: r.good()})
 	return r
 }
 
-// The reasons for which an upstream's answer is not passed on.
+// The reasons for not passing on an upstream's answer.
 var (
 	errAnswerTooLong = errors.New("answer is too long")
 	errOtherAnswer   = errors.New("answer names another request")
@@ -306,8 +306,8 @@
 	errPanicked      = errors.New("a fault of this entry")
 )
 
-// noteCall tells the fleet how an upstream served. An attempt that was given up
-// tells nothing about its upstream.
+// noteCall reports the outcome of an attempt to the fleet. An attempt that this entry cancelled
+// says nothing about the upstream.
 func (g *Gateway) noteCall(ctx context.Context, rq *request, u fleet.Upstream, r result) {
 	if r.usable() {
 		rq.run.Served()
@@ -322,13 +322,14 @@
 	case r.verdict == protocol.WrongUpstream:
 		g.fleet.MarkLeaving(r.upstream, "another upstream has its address")
 	case r.status >= http.StatusInternalServerError:
-		// The run notes it once it knows whether another upstream does better.
+		// callRun.blame reports it once it is known whether another upstream does better.
 	default:
 		g.fleet.Note(r.upstream, fleet.Served)
 	}
 }
 
-// busy notes that an upstream refused a request unrun, and until when it wants no others.
+// busy records that an upstream refused a request without running it, and until when the upstream
+// asked for no further requests.
 func (g *Gateway) busy(upstream string, header http.Header) {
 	g.fleet.Note(upstream, fleet.Busy)
 	if at := g.proto.ComeBack(header, g.now()); !at.IsZero() {
@@ -336,16 +337,16 @@
 	}
 }
 
-// passOn gives the caller an upstream's answer unchanged.
+// passOn writes an upstream's answer to the caller unchanged.
 func (g *Gateway) passOn(rq *request, r result) {
 	h := rq.w.Header()
 	g.proto.PassHeader(r.header, h)
 	h.Set("Content-Length", strconv.Itoa(len(r.body)))
 	rq.w.WriteHeader(r.status)
-	// What cannot be written is noted by the connection, after the last flush.
+	// The connection logs failed writes after the last flush.
 	_, _ = rq.w.Write(r.body)
-	took := g.now().Sub(rq.start)
+	elapsed := g.now().Sub(rq.start)
 	g.met.ended(strconv.Itoa(r.status))
-	g.met.answered(took)
-	g.rec.Note(events.RequestEnded, rq.call.ID, "status", r.status, "upstream", r.upstream, "tries", rq.tries, "took", took, "bytes", len(r.body))
+	g.met.answered(elapsed)
+	g.rec.Note(events.RequestEnded, rq.call.ID, "status", r.status, "upstream", r.upstream, "tries", rq.tries, "took", elapsed, "bytes", len(r.body))
 }
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -16,8 +16,7 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// TestPlainCall covers how each kind of route ends when its upstreams answer in
-// different ways. All upstreams of a case answer alike.
+// TestPlainCall covers how calls on each kind of route end if all upstreams answer alike.
 func TestPlainCall(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -28,36 +27,36 @@
 		back   bool
 	}{
 		{"an answer is passed on", pathSafe, serveOK, 200, 1, false},
-		{"a failure is tried at a second upstream and then passed on", pathSafe, serveError, 500, 2, false},
-		{"a failure is not repeated where that is not allowed", pathOnce, serveError, 500, 1, false},
-		{"a broken answer is tried at a second upstream", pathSafe, serveBreak, 502, 2, false},
-		{"a broken answer is never repeated where that is not allowed", pathOnce, serveBreak, 502, 1, false},
-		{"what nobody ran may come back", pathSafe, serveNotRun, 503, 3, true},
-		{"what nobody ran may come back, also where it may not be repeated", pathOnce, serveNotRun, 503, 3, true},
-		{"a success without proof is not passed on", pathOnce, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }, 502, 1, false},
+		{"an error is retried at a second upstream and then passed on", pathSafe, serveError, 500, 2, false},
+		{"an error is not retried where the route forbids it", pathOnce, serveError, 500, 1, false},
+		{"a broken answer is retried at a second upstream", pathSafe, serveBreak, 502, 2, false},
+		{"a broken answer is not retried where the route forbids it", pathOnce, serveBreak, 502, 1, false},
+		{"a call that no upstream ran is refused with a retry time", pathSafe, serveNotRun, 503, 3, true},
+		{"a call that no upstream ran is refused with a retry time, also where the route forbids repeats", pathOnce, serveNotRun, 503, 3, true},
+		{"a success without the proof header is not passed on", pathOnce, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }, 502, 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			var ups []*upstream
+			var upstreams []*upstream
 			for i := range 4 {
-				ups = append(ups, f.add("app", "a"+strconv.Itoa(i), tc.serve))
+				upstreams = append(upstreams, f.add("app", "a"+strconv.Itoa(i), tc.serve))
 			}
 			got := f.ask(tc.path)
 			runs := 0
-			for _, u := range ups {
+			for _, u := range upstreams {
 				runs += u.runs()
 			}
 			if got.err != nil || got.status != tc.status || runs != tc.runs {
 				t.Errorf("status %d, %v, %d sends; want %d and %d", got.status, got.err, runs, tc.status, tc.runs)
 			}
 			if back := got.header.Get(testBack) != ""; back != tc.back {
-				t.Errorf("told when to come back: %v, want %v", back, tc.back)
+				t.Errorf("retry time sent: %v, want %v", back, tc.back)
 			}
 		})
 	}
 }
 
-func TestUnrunCallGoesToAnotherUpstream(t *testing.T) {
+func TestCallThatWasNotRunIsSentToAnotherUpstream(t *testing.T) {
 	f := newFixture(t)
 	f.add("app", "full", serveNotRun)
 	good := f.add("app", "good", serveOK)
@@ -87,7 +86,7 @@
 		}
 		serveOK(w, r)
 	}
-	// Only the first request that arrives anywhere is slow.
+	// Only the first request to reach either upstream is slow.
 	first <- struct{}{}
 	f.add("app", "a", serve)
 	f.add("app", "b", serve)
@@ -95,11 +94,11 @@
 		t.Fatalf("status %d, want 200", got.status)
 	}
 	if !f.noted(events.HedgeSent) {
-		t.Error("no second upstream was asked")
+		t.Error("no hedge was sent")
 	}
 }
 
-func TestTimeLimitIsAnsweredInTime(t *testing.T) {
+func TestExceededDeadlineReturns504InTime(t *testing.T) {
 	f := newFixture(t)
 	cancelled := make(chan struct{})
 	f.add("app", "a", func(_ http.ResponseWriter, r *http.Request) {
@@ -109,12 +108,12 @@
 	start := time.Now()
 	got := f.ask(pathOnce, func(r *http.Request) { r.Header.Set(testDeadline, "150") })
 	if got.status != http.StatusGatewayTimeout || time.Since(start) > time.Second {
-		t.Errorf("status %d after %s, want 504 at the time limit", got.status, time.Since(start))
+		t.Errorf("status %d after %s, want 504 at the deadline", got.status, time.Since(start))
 	}
 	<-cancelled
 }
 
-func TestRemainingTimeIsPassedOn(t *testing.T) {
+func TestRemainingTimeIsForwarded(t *testing.T) {
 	f := newFixture(t)
 	u := f.add("app", "a", serveOK)
 	f.ask(pathSafe, func(r *http.Request) { r.Header.Set(testDeadline, "700") })
@@ -127,7 +126,7 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	f := newFixture(t)
 	began, ended := make(chan struct{}), make(chan struct{})
 	f.add("app", "a", func(_ http.ResponseWriter, r *http.Request) {
@@ -153,11 +152,11 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("the upstream still works on a request whose caller left")
+		t.Error("the upstream still works on a request whose caller disconnected")
 	}
 }
 
-func TestWhoMayAsk(t *testing.T) {
+func TestKeyCheckByAgeOfRouteTable(t *testing.T) {
 	const hard, soft = true, false
 	for _, tc := range []struct {
 		name   string
@@ -170,11 +169,11 @@
 		{"a known key", pathSafe, "key", 0, hard, 200},
 		{"an unknown key", pathSafe, "other", 0, hard, 401},
 		{"no key", pathSafe, "", 0, hard, 401},
-		{"a public route needs none", pathOpen, "", 0, hard, 200},
+		{"a public route without a key", pathOpen, "", 0, hard, 200},
 		{"no route", "/nowhere/", "key", 0, hard, 404},
 		{"a known key that may have been revoked", pathSafe, "key", 2 * time.Minute, hard, 503},
 		{"an unknown key that may be new", pathSafe, "other", 2 * time.Minute, hard, 503},
-		{"a public route needs no fresh table", pathOpen, "", 2 * time.Minute, hard, 200},
+		{"a public route with an old table", pathOpen, "", 2 * time.Minute, hard, 200},
 		{"a route that may be new", "/nowhere/", "key", 2 * time.Minute, hard, 503},
 
 		{"an unknown key, soft bound", pathSafe, "other", 0, soft, 401},
@@ -194,14 +193,14 @@
 				t.Errorf("status %d, want %d", got.status, tc.status)
 			}
 			if tc.status == 503 && got.header.Get(testBack) == "" {
-				t.Error("not told when to come back")
+				t.Error("no retry time sent")
 			}
 		})
 	}
 }
 
-// TestReadyWithoutConfirmedRoutes covers whether the balancer is told to send
-// callers to an entry that did not hear of the store for a while.
+// TestReadyWithoutConfirmedRoutes covers the readiness of an entry that has not been able to
+// confirm its route table for a while.
 func TestReadyWithoutConfirmedRoutes(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -226,25 +225,25 @@
 	}
 }
 
-// TestKeyRevokedDuringAnOutage: a key that the last table held is served while
-// the store is away, and refused by the table that comes after it.
+// TestKeyRevokedDuringAnOutage: a key in the last known table is accepted while the store is
+// unavailable, and refused once a newer table without it is loaded.
 func TestKeyRevokedDuringAnOutage(t *testing.T) {
 	f := newFixture(t)
 	f.gateway.settings.HardKeyBound = false
 	f.add("app", "a", serveOK)
-	away := 2 * time.Minute
-	f.gateway.now = func() time.Time { return time.Now().Add(away) }
+	outage := 2 * time.Minute
+	f.gateway.now = func() time.Time { return time.Now().Add(outage) }
 	if got := f.ask(pathSafe); got.status != http.StatusOK {
-		t.Fatalf("status %d while the store is away, want 200", got.status)
+		t.Fatalf("status %d while the store is unavailable, want 200", got.status)
 	}
 	f.routes.Apply(platform.Snapshot{Records: []platform.Record{{Name: "routes", Value: []byte("2 revoked")}}}, false)
 	f.routes.ConfirmCurrent(f.gateway.now())
 	if got := f.ask(pathSafe); got.status != http.StatusUnauthorized {
-		t.Errorf("status %d by the table that took the key away, want 401", got.status)
+		t.Errorf("status %d with the table that lacks the key, want 401", got.status)
 	}
 }
 
-func TestRoutesOnlyGoUp(t *testing.T) {
+func TestRouteTableVersionNeverDecreases(t *testing.T) {
 	f := newFixture(t)
 	apply := func(v string) {
 		f.routes.Apply(platform.Snapshot{Records: []platform.Record{{Name: "routes", Value: []byte(v)}}}, false)
@@ -258,11 +257,11 @@
 	before := time.Now()
 	f.routes.Confirm(5, before.Add(time.Hour))
 	if _, confirmed := f.routes.Current(); confirmed.After(before) {
-		t.Error("a confirmation of another version counted")
+		t.Error("a confirmation of another version was accepted")
 	}
 }
 
-func TestBodyBeyondTheLimit(t *testing.T) {
+func TestBodyAboveLimitIsRefused(t *testing.T) {
 	f := newFixture(t)
 	u := f.add("app", "a", serveOK)
 	got := f.ask(pathSafe, func(r *http.Request) {
@@ -286,7 +285,7 @@
 	return n, nil
 }
 
-func TestHeadersBeyondTheOperatorsLimit(t *testing.T) {
+func TestHeadersAboveConfiguredLimitAreRefused(t *testing.T) {
 	f := newFixture(t)
 	u := f.add("app", "u", serveOK)
 	long := func(r *http.Request) { r.Header.Set("X-Long", strings.Repeat("x", testHeaderBytes)) }
@@ -301,9 +300,9 @@
 	}
 }
 
-// TestWhoIsBlamedForAFailure: an upstream that failed a call is blamed if another
-// one served it, or if nobody else was asked; not if others failed it as well.
-func TestWhoIsBlamedForAFailure(t *testing.T) {
+// TestFailureIsAttributedToUpstream: a failed call counts against its upstream if another
+// upstream served the call or no other one was tried, but not if others failed it too.
+func TestFailureIsAttributedToUpstream(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		path   string
@@ -312,13 +311,13 @@
 	}{
 		{"another upstream served it", pathSafe, serveOK, 1},
 		{"another upstream failed it too", pathSafe, serveError, 0},
-		{"it may be sent once only", pathOnce, serveOK, 1},
+		{"the call may be sent only once", pathOnce, serveOK, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.add("app", "bad", serveError)
 			other := f.add("app", "other", tc.others)
-			// The other one looks busy, so the bad one is asked first.
+			// The other upstream has a high load, so the bad one is tried first.
 			claim := f.gateway.ledger.take("other", gossip.Load{Running: 100})
 			defer claim.release()
 			f.ask(tc.path)
@@ -332,7 +331,7 @@
 	}
 }
 
-// TestFailingUpstreamGetsNoCalls: what other entries met counts.
+// TestFailingUpstreamGetsNoCalls: failures that other entries report count as well.
 func TestFailingUpstreamGetsNoCalls(t *testing.T) {
 	f := newFixture(t)
 	bad := f.add("app", "bad", serveError)
@@ -348,14 +347,14 @@
 	}
 }
 
-// A call whose answer and time limit were due at once, as in a process that did not get to
-// run for a while, got the answer or a 504 by chance: a select takes any case that is
-// ready.
-func TestAnswerThatIsThereAtTheTimeLimit(t *testing.T) {
+// TestAnswerReadyAtDeadlineIsDelivered guards against a 504 for a call whose answer and deadline
+// become due together, as in a process that got no CPU time for a while. A select takes any ready
+// case, so the answer was lost at random.
+func TestAnswerReadyAtDeadlineIsDelivered(t *testing.T) {
 	f := newFixture(t)
-	over := make(chan struct{})
-	defer close(over)
-	f.add("app", "app-1", func(http.ResponseWriter, *http.Request) { <-over })
+	unblock := make(chan struct{})
+	defer close(unblock)
+	f.add("app", "app-1", func(http.ResponseWriter, *http.Request) { <-unblock })
 	table, _ := f.routes.Current()
 	route, ok := table.Match("host", pathOnce)
 	if !ok {
@@ -374,19 +373,19 @@
 	}
 }
 
-// A call whose upstream failed of its own was tried again; the second upstream hung, and
-// at the time limit the first one's answer was thrown away for a 504.
-func TestUpstreamsFailureGoesBeforeTheTimeLimit(t *testing.T) {
+// TestUpstreamErrorIsPreferredToTimeout guards against a 504 that replaces an upstream's error:
+// the call is retried after the error, and the second upstream hangs until the deadline.
+func TestUpstreamErrorIsPreferredToTimeout(t *testing.T) {
 	f := newFixture(t)
-	over := make(chan struct{})
-	defer close(over)
+	unblock := make(chan struct{})
+	defer close(unblock)
 	failed := make(chan struct{}, 1)
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case failed <- struct{}{}:
 			serveError(w, r)
 		default:
-			<-over
+			<-unblock
 		}
 	}
 	f.add("app", "app-1", serve)
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// startShare is the part of the objective by which a generation has to be
-	// expected to begin; the rest covers prompts of other entries that are not known
+	// startShare is the fraction of the objective within which a generation has to be expected to
+	// start. The rest is a margin for prompts of other entries that this entry has not learned of
 	// yet.
 	startShare = 0.8
-	// mostConsidered bounds the engines that a decision looks at, which are drawn anew
-	// each time; all are looked at only if none of those has room. Above it a decision
-	// would take longer than 20 us.
+	// mostConsidered limits the engines that one decision examines. They are sampled anew each
+	// time. Only if none of them has room are all engines examined. With a larger sample, a
+	// decision would take more than 20 us.
 	mostConsidered = 48
 )
 
-// view is what this entry decides by. nudged tells that entries send each other a message
-// when they place a request.
-func (g *Gateway) view(nudged bool) *placement.View {
+// view returns what this entry knows when it makes a placement decision. notifiesPeers says that
+// entries send each other a message whenever they place such a request.
+func (g *Gateway) view(notifiesPeers bool) *placement.View {
 	return &placement.View{
 		Zone: g.settings.Zone, Now: g.now(), Random: rand.Float64, ReadToken: g.reading.expected(1),
-		Delay: func(zone string) time.Duration { return g.others.Delay(zone, nudged) },
+		Delay: func(zone string) time.Duration { return g.others.Delay(zone, notifiesPeers) },
 	}
 }
 
-// candidates are upstreams with what is known of their load, without those excluded and those that
-// want no requests now.
+// candidates returns the upstreams in list and their known load, without those in exclude and
+// those in back-off.
 func (g *Gateway) candidates(list []fleet.Upstream, exclude map[string]bool, now time.Time) []placement.Candidate {
 	trials := g.quarantine.Trials()
 	out := make([]placement.Candidate, 0, len(list))
@@ -44,18 +44,18 @@
 	return out
 }
 
-// generationOf returns what a request asks of an engine at a moment.
+// generationOf returns the demand of a request on an engine at the given time.
 func (g *Gateway) generationOf(rq *request, now time.Time) *placement.Generation {
-	d := &placement.Generation{Engine: rq.service.Engine, Prompt: rq.call.Prompt, Output: expectedOutput(&rq.call), Repeats: rq.route.Repeats()}
+	gen := &placement.Generation{Engine: rq.service.Engine, Prompt: rq.call.Prompt, Output: expectedOutput(&rq.call), Repeats: rq.route.Repeats()}
 	if rq.route.Objective > 0 {
-		d.StartBy = rq.start.Add(time.Duration(startShare * float64(rq.route.Objective))).Sub(now)
+		gen.StartBy = rq.start.Add(time.Duration(startShare * float64(rq.route.Objective))).Sub(now)
 	}
-	// What ends within the notice of an engine that leaves need not be moved.
-	d.Brief = g.pace.rest(d.Output, rq.service.Engine.EventTokens) < placement.MoveWithin
-	return d
+	// A generation that ends within the notice period of a leaving engine need not be moved.
+	gen.Brief = g.pace.rest(gen.Output, rq.service.Engine.EventTokens) < placement.MoveWithin
+	return gen
 }
 
-// admitEngine chooses the engine for a new generation; the error tells why there is none.
+// admitEngine chooses the engine for a new generation. The error says why there is none.
 func (g *Gateway) admitEngine(s *stream, exclude map[string]bool) (fleet.Upstream, error) {
 	service := s.rq.service.Name
 	exclude = g.isolated(s.rq, exclude)
@@ -64,20 +64,21 @@
 			return u, nil
 		}
 	}
-	some, all := g.fleet.Some(service, mostConsidered, rand.IntN)
-	u, err := g.admitAmong(some, s, exclude)
-	if err == nil || all {
+	sample, complete := g.fleet.Some(service, mostConsidered, rand.IntN)
+	u, err := g.admitAmong(sample, s, exclude)
+	if err == nil || complete {
 		return u, err
 	}
 	return g.admitAmong(g.fleet.Of(service), s, exclude)
 }
 
-// mostTried bounds the engines that are looked at for a suspect, of those that run least.
+// mostTried limits the engines that are examined for a suspect, starting with the least loaded.
 const mostTried = 4
 
-// admitTrial chooses an engine for a generation under which one ended: of those that run
-// least, since that ends with it. In the rig of internal/quarantine, 4 entries, one request
-// that ends three or four upstreams cut 1 to 3 sound runs so, 5 to 8 anywhere.
+// admitTrial chooses an engine for a generation during which an engine crashed before. Engines
+// that run the fewest requests come first, since these requests are lost in another crash. In the
+// test rig of internal/quarantine with 4 entries, one request that crashes three or four upstreams
+// cut 1 to 3 healthy requests with this rule, and 5 to 8 if it ran on any engine.
 func (g *Gateway) admitTrial(s *stream, exclude map[string]bool) (fleet.Upstream, bool) {
 	list := slices.DeleteFunc(g.fleet.Of(s.rq.service.Name), func(u fleet.Upstream) bool { return u.AvoidUntil().After(g.now()) || u.InBackOff(g.now()) })
 	running := make(map[string]int, len(list))
@@ -104,14 +105,15 @@
 	return view.Admit(candidates, g.generationOf(s.rq, view.Now), usable)
 }
 
-// chooseEngine returns the best engine for the rest of a generation, however crowded.
+// chooseEngine returns the best engine for the rest of a generation, even if all are overloaded.
 func (g *Gateway) chooseEngine(s *stream, exclude map[string]bool) (fleet.Upstream, bool) {
 	view := g.view(true)
 	return view.Anyhow(g.candidates(g.fleet.Of(s.rq.service.Name), exclude, view.Now), g.generationOf(s.rq, view.Now))
 }
 
-// chooseTarget returns the engine to which a generation moves from another one. One that named a
-// limit is the last resort: the generation might wait there for a permit with its answer begun.
+// chooseTarget returns the engine that a generation moves to. An engine that stated a rate limit
+// is the last resort: the generation might have to wait for a permit there in the middle of its
+// answer.
 func (g *Gateway) chooseTarget(s *stream, from fleet.Upstream, exclude map[string]bool) (fleet.Upstream, bool) {
 	if u, ok := g.chooseTargetAmong(s, from, g.unlimited(exclude)); ok || !g.limits.Any() {
 		return u, ok
@@ -135,13 +137,13 @@
 	return view.Plain(candidates)
 }
 
-// backAfterOverload is the time after which a caller that found no room should
-// come back.
+// backAfterOverload returns the retry delay for a caller that was refused because no engine had
+// room.
 func (g *Gateway) backAfterOverload(rq *request) time.Duration {
 	return g.overload(rq.service.Name).Refused(rq.route.Objective, g.now(), rand.Float64())
 }
 
-// overload returns what is known of the overload of a service.
+// overload returns the overload state of a service.
 func (g *Gateway) overload(service string) *placement.Overload {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -18,12 +18,12 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// TestZoneIsKept covers when requests leave their zone: not for a small difference
-// in load, because links between zones may lose packets.
-func TestZoneIsKept(t *testing.T) {
+// TestGenerationsPreferTheirZone covers when generations leave their zone. A small difference in
+// load is no reason, because links between zones may lose packets.
+func TestGenerationsPreferTheirZone(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// near is what runs at the upstream of the own zone; the other one is idle.
+		// near is the load of the upstream in the entry's zone; the other upstream is idle.
 		near gossip.Load
 		want string
 	}{
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestPlainCallsKeepTheZone: a call leaves its zone only for an upstream with a
-// whole request less.
-func TestPlainCallsKeepTheZone(t *testing.T) {
+// TestPlainCallsPreferTheirZone: a call leaves its zone only for an upstream that runs at least
+// one request less.
+func TestPlainCallsPreferTheirZone(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		running int
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestCrowdedEnginesRefuseAtOnce: with no room anywhere a generation is refused
-// unrun, at once, with a time to come back; a brief one is still served.
-func TestCrowdedEnginesRefuseAtOnce(t *testing.T) {
+// TestGenerationIsRefusedAtOnceWhenEnginesAreFull: if no engine has room, a generation is refused
+// at once with a retry time, without being sent to an engine.
+func TestGenerationIsRefusedAtOnceWhenEnginesAreFull(t *testing.T) {
 	f := newFixture(t)
 	e := f.addEngine("e")
 	claim := f.gateway.ledger.take("e", gossip.Load{Running: 4, Held: 99000, Tokens: 99500})
@@ -87,16 +87,16 @@
 	start := time.Now()
 	got := f.ask(pathStream)
 	if got.status != http.StatusServiceUnavailable || e.runs() != 0 || time.Since(start) > 50*time.Millisecond {
-		t.Errorf("status %d, %d sends after %s; want 503 unrun at once", got.status, e.runs(), time.Since(start))
+		t.Errorf("status %d, %d sends after %s; want 503 at once and no sends", got.status, e.runs(), time.Since(start))
 	}
 	least, most := int64((1-placement.BackSpread)*float64(placement.BackLeast.Milliseconds())), int64((1+placement.BackSpread)*float64(placement.BackLeast.Milliseconds()))
 	if ms, err := strconv.ParseInt(got.header.Get(testBack), 10, 64); err != nil || ms < least-1 || ms > most {
-		t.Errorf("told to come back in %q ms", got.header.Get(testBack))
+		t.Errorf("retry time of %q ms", got.header.Get(testBack))
 	}
 }
 
-// TestGenerationGoesWhereThereIsRoom: peers' loads count as the own do.
-func TestGenerationGoesWhereThereIsRoom(t *testing.T) {
+// TestLoadOfPeersCountsInPlacement: the load of other entries counts like this entry's own.
+func TestLoadOfPeersCountsInPlacement(t *testing.T) {
 	f := newFixture(t)
 	full := f.addEngine("full")
 	free := f.addEngine("free")
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestLoadOfSilentEntriesIsForgotten: an entry that died has nothing in flight.
-func TestLoadOfSilentEntriesIsForgotten(t *testing.T) {
+// TestLoadOfUnreachableEntriesIsDropped: an entry that has crashed has nothing in flight.
+func TestLoadOfUnreachableEntriesIsDropped(t *testing.T) {
 	f := newFixture(t)
 	f.addEngine("e")
 	f.peers = map[string]gossip.Peer{"b": {}}
@@ -124,7 +124,7 @@
 	f.peers = nil
 	f.gateway.ForgetSilent()
 	if got := f.ask(pathStream); got.status != http.StatusOK {
-		t.Errorf("status %d after that entry fell silent, want 200", got.status)
+		t.Errorf("status %d after that entry became unreachable, want 200", got.status)
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-// crowdedGateway knows n engines that are half full.
+// crowdedGateway returns a gateway with n half-full engines, and a generation to place.
 func crowdedGateway(n int) (*Gateway, *stream) {
 	set := fleet.New(events.Nop(), time.Now, func(string) {})
 	g := &Gateway{fleet: set, ledger: newLedger(time.Now), prefixes: newPrefixes(), now: time.Now, others: Others{Delay: func(string, bool) time.Duration { return 10 * time.Millisecond }}}
--- a/internal/gateway/continue.go
+++ b/internal/gateway/continue.go
@@ -9,11 +9,11 @@
 	"github.com/sparshore/sparshore/internal/routing"
 )
 
-// afterUnrun chooses where to go after an engine refused an attempt unrun.
+// afterUnrun chooses the next step after an engine refused an attempt without running it.
 func (s *stream) afterUnrun(ctx context.Context, last step, exclude map[string]bool) (step, bool) {
 	if last.from != nil {
-		// A copy serves once; the refusal tells that it is not there. The order
-		// that stopped the generation may name another.
+		// A copy can be used only once, and the refusal says that the engine no longer has it.
+		// The order that stopped the generation may provide another copy.
 		return s.afterBreak(ctx, exclude)
 	}
 	if ctx.Err() != nil || s.rq.tries >= maxSends || !s.rq.run.MaySend() || !s.g.budget(s.rq.service.Name).Repeat(0) {
@@ -23,12 +23,12 @@
 	return step{at: at, why: "refused unrun"}, err == nil
 }
 
-// handoverWithin bounds the wait for an order that has stopped the generation;
-// copying a whole memory between zones takes less than half a second.
+// handoverWithin limits the wait for an order that has stopped the generation. Copying the whole
+// memory of a generation between zones takes less than half a second.
 const handoverWithin = 2 * time.Second
 
-// afterBreak chooses where a generation goes on whose answer broke off: at the
-// copy of its memory, or anew where the route allows that.
+// afterBreak chooses where a generation whose answer broke off continues: at a copy of its
+// memory, or without one where the route allows that.
 func (s *stream) afterBreak(ctx context.Context, exclude map[string]bool) (step, bool) {
 	held, ok := s.takeCopy()
 	if !ok {
@@ -57,8 +57,7 @@
 	if !s.rq.route.Repeats() || s.rq.tries >= s.rq.route.MaxAttempts || !s.rq.run.MayRepeat() || !budget.Repeat(0) {
 		return step{}, false
 	}
-	// The caller waits for the rest of an answer, so a crowded engine is better than
-	// none.
+	// The caller is waiting for the rest of an answer, so a crowded engine is better than none.
 	at, err := s.goOnAt(ctx, exclude)
 	if errors.Is(err, errLimited) {
 		s.stuck = err.Error()
@@ -67,15 +66,15 @@
 }
 
 const (
-	// goOnWithin is how long a generation whose copy is there waits for the retry
-	// budget: a late answer serves the caller better than a cut one. The engine
-	// holds the copy longer.
+	// goOnWithin limits how long a generation with a copy waits for the retry budget. A late
+	// answer serves the caller better than a cut one, and the engine keeps the copy longer than
+	// this.
 	goOnWithin = 2 * time.Second
-	// goOnEach is the pause between two looks at the budget.
+	// goOnEach is the interval between two checks of the budget.
 	goOnEach = 20 * time.Millisecond
 )
 
-// mayGoOn takes an attempt out of the retry budget; it waits a while for one.
+// mayGoOn takes an attempt from the retry budget, waiting up to goOnWithin until there is one.
 func (s *stream) mayGoOn(ctx context.Context, budget *routing.Window) bool {
 	deadline := s.g.now().Add(goOnWithin)
 	for !budget.Repeat(0) {
@@ -88,8 +87,9 @@
 	return true
 }
 
-// takeCopy takes the copy to try next; each serves once. Copies that went with the start
-// of their engine are passed over: an attempt there would be refused and count as a repeat.
+// takeCopy removes and returns the copy to try next; each copy can be used only once. It skips
+// the copies that were lost when their engine restarted: an attempt there would be refused and
+// still count as a repeat.
 func (s *stream) takeCopy() (held heldCopy, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,19 +103,20 @@
 	return heldCopy{}, false
 }
 
-// waitHandover waits until an order that stops the generation has ended.
+// waitHandover waits until the order that stops the generation has been answered, for
+// handoverWithin at most.
 func (s *stream) waitHandover(ctx context.Context) {
 	s.mu.Lock()
-	wait := s.handover
+	done := s.handover
 	s.mu.Unlock()
-	if wait == nil {
+	if done == nil {
 		return
 	}
-	t := time.NewTimer(handoverWithin)
-	defer t.Stop()
+	timer := time.NewTimer(handoverWithin)
+	defer timer.Stop()
 	select {
-	case <-wait:
+	case <-done:
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
--- a/internal/gateway/crashing.go
+++ b/internal/gateway/crashing.go
@@ -14,20 +14,23 @@
 )
 
 const (
-	// turnShare is the part of a route's objective for which a request waits while the
-	// same one runs elsewhere after an upstream ended under it: most end in that time, and
-	// the answer still comes in time.
+	// turnShare is the fraction of a route's objective for which a suspect waits while the same
+	// request runs elsewhere. Most of them end within that time, which leaves time for an answer
+	// within the objective.
 	turnShare = 0.25
-	// backTurn is about the time in which it shows whether an upstream ends under a request.
+	// backTurn is the retry delay of a suspect that may not run yet, because the same request or
+	// another suspect is running: about the time until it is known whether that run crashes its
+	// upstream.
 	backTurn = 500 * time.Millisecond
-	// trialLasts is how long after its first event a generation under which an engine ended
-	// keeps others with the same request back: those that end engines did so within 0.1 s.
+	// trialLasts is how long after its first event a suspect generation keeps others with the
+	// same request waiting. Those that crashed engines did so within 0.1 s.
 	trialLasts = time.Second
 )
 
-// enterRun begins to serve a request, unless it is one that ends upstreams: then it is
-// refused at once. That is no fault of the caller, and it has not run, hence 503; there is
-// no time to come back, since nobody knows when the upstreams will bear it.
+// enterRun starts serving a request, unless it is a quarantined poison request, which is refused
+// at once. The status is 503, since the caller is not at fault and the request has not run. The
+// refusal has no retry time, since nobody knows when the upstreams will be able to run the
+// request.
 func (g *Gateway) enterRun(ctx context.Context, rq *request) bool {
 	wait := time.Duration(turnShare * float64(rq.route.Objective))
 	run, err := g.quarantine.Enter(ctx, quarantine.Request{Fingerprint: rq.fingerprint, Route: rq.route.Name, Account: rq.account}, wait)
@@ -46,71 +49,75 @@
 	return false
 }
 
-// broke notes that an upstream's answer broke off, and finds out whether the upstream ended.
-// One that leaves ends by plan, and what was not sent did not run.
-func (g *Gateway) broke(rq *request, at fleet.Upstream, err error) {
+// broke records that an upstream's answer broke off and starts a probe to find out whether
+// the upstream crashed. A leaving upstream ends as planned, and a request that was not sent
+// cannot have crashed it.
+func (g *Gateway) broke(rq *request, upstream fleet.Upstream, err error) {
 	if errors.Is(err, link.ErrNotSent) {
 		return
 	}
-	if u, known := g.fleet.Get(at.ID); known && u.State() == fleet.Leaving {
+	if u, known := g.fleet.Get(upstream.ID); known && u.State() == fleet.Leaving {
 		return
 	}
-	rq.run.Broke(at.ID)
+	rq.run.Broke(upstream.ID)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.looking[at.ID] {
-		g.looking[at.ID] = true
-		go g.look(at)
+	if !g.looking[upstream.ID] {
+		g.looking[upstream.ID] = true
+		go g.look(upstream)
 	}
 }
 
-// look finds out whether an upstream ended: the address of one that did refuses connections
-// until its next start, some seconds later. One that takes them may have broken off an
-// answer for other reasons. One that is silent tells nothing; its row may.
-func (g *Gateway) look(at fleet.Upstream) {
-	err := g.link.Reach(context.Background(), at.Address)
+// look probes whether an upstream crashed. The address of a crashed upstream refuses connections
+// until its next start, some seconds later. An upstream that accepts a connection may have broken
+// off an answer for other reasons. A timeout shows nothing; the upstream's row in the store may
+// show later what happened.
+func (g *Gateway) look(upstream fleet.Upstream) {
+	err := g.link.Reach(context.Background(), upstream.Address)
 	g.mu.Lock()
-	delete(g.looking, at.ID)
+	delete(g.looking, upstream.ID)
 	g.mu.Unlock()
 	switch {
 	case err == nil:
-		g.quarantine.Lives(at.ID)
+		g.quarantine.Lives(upstream.ID)
 	case errors.Is(err, syscall.ECONNREFUSED):
-		g.quarantine.Ended(at.ID)
+		g.quarantine.Ended(upstream.ID)
 	}
 }
 
-// isolated adds to the upstreams that a request is not to be sent to those from which it is to be
-// kept because upstreams ended under it.
+// isolated adds to exclude the upstreams that a request must not be sent to if it has to run
+// apart from suspects: those that run one and those that are unavailable. If too many are
+// unavailable, these are all upstreams of the service.
 func (g *Gateway) isolated(rq *request, exclude map[string]bool) map[string]bool {
 	if rq.run.Isolation() != quarantine.Apart {
 		return exclude
 	}
-	out := g.quarantine.Trials()
-	if out == nil {
-		out = map[string]bool{}
+	excluded := g.quarantine.Trials()
+	if excluded == nil {
+		excluded = map[string]bool{}
 	}
-	maps.Copy(out, exclude)
+	maps.Copy(excluded, exclude)
 	list := g.fleet.Of(rq.service.Name)
-	ended, now, there := g.quarantine.EndedLately(), g.now(), len(list)
+	crashed, now, available := g.quarantine.EndedLately(), g.now(), len(list)
 	for _, u := range list {
-		if _, gone := ended[u.ID]; gone || u.AvoidUntil().After(now) || u.InBackOff(now) {
-			out[u.ID] = true
-			there--
+		if _, gone := crashed[u.ID]; gone || u.AvoidUntil().After(now) || u.InBackOff(now) {
+			excluded[u.ID] = true
+			available--
 		}
 	}
-	if !quarantine.MostThere(there, len(list)) {
+	if !quarantine.MostThere(available, len(list)) {
 		for _, u := range list {
-			out[u.ID] = true
+			excluded[u.ID] = true
 		}
 	}
-	return out
+	return excluded
 }
 
-// SweepQuarantine settles what is known by now of upstreams whose answers broke off.
+// SweepQuarantine decides the open cases of upstreams whose answers broke off, as far as the
+// fleet now knows what became of them.
 func (g *Gateway) SweepQuarantine() {
 	g.quarantine.Sweep(func(start string) bool { return !g.there(start) })
 }
 
-// Quarantine returns what this entry knows of requests that end upstreams.
+// Quarantine returns this entry's set of suspects and quarantined requests.
 func (g *Gateway) Quarantine() *quarantine.Set { return g.quarantine }
--- a/internal/gateway/crashing_test.go
+++ b/internal/gateway/crashing_test.go
@@ -15,23 +15,23 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
-// crashingBody is the body of a request that ends each upstream that begins to run it.
+// crashingBody is the body of a request that crashes each upstream that starts to run it.
 const crashingBody = "crash"
 
 const (
-	// backAfter is how long after its end an upstream of these tests is back.
+	// backAfter is how long after a crash an upstream of these tests restarts.
 	backAfter = 150 * time.Millisecond
-	// toldWithin is the time after the third end in which entries learn of it here.
+	// toldWithin is the time after the third crash within which entries learn of it here.
 	toldWithin = 300 * time.Millisecond
 	// mostAfterVerdict is how often the request may reach upstreams later than that.
 	mostAfterVerdict = 3
-	// mostEnds is how many upstreams it may end in all: three, and those that it had
-	// reached before the first of them ended.
+	// mostEnds is how many upstreams the request may crash in all: three, and those that it had
+	// reached before the first of them crashed.
 	mostEnds = 6
 )
 
-// crasher is an upstream that ends with its connections and its address when it begins
-// to run the crashing body, and is back a while later as another start.
+// crasher is an upstream that closes its connections and its address when it starts to run the
+// crashing body, and restarts a while later as another incarnation.
 type crasher struct {
 	f       *fixture
 	crowd   *crashers
@@ -39,7 +39,7 @@
 	answers http.HandlerFunc
 }
 
-// crashers are the upstreams of a test, and what befell them.
+// crashers are the upstreams of a test, with the times of requests and crashes.
 type crashers struct {
 	mu      sync.Mutex
 	reached []time.Time
@@ -49,7 +49,7 @@
 	serving sync.WaitGroup
 }
 
-// start begins to serve as a start of its own.
+// start starts serving as a new incarnation.
 func (c *crasher) start(address string) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -88,7 +88,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// end ends this start with all that it runs; the next one comes later.
+// end crashes this incarnation with all its requests and schedules the next one.
 func (c *crasher) end(s *http.Server) {
 	_ = s.Close()
 	c.crowd.mu.Lock()
@@ -101,36 +101,36 @@
 	})
 }
 
-// addCrashers starts upstreams of a service that a request can end.
+// addCrashers starts upstreams of a service that the crashing body crashes.
 func (f *fixture) addCrashers(service string, n int, answers http.HandlerFunc) *crashers {
-	crowd := &crashers{}
+	group := &crashers{}
 	for i := range n {
-		c := &crasher{f: f, crowd: crowd, answers: answers, record: fleet.Record{Name: service + "-" + strconv.Itoa(i), Service: service, Slots: 6}}
+		c := &crasher{f: f, crowd: group, answers: answers, record: fleet.Record{Name: service + "-" + strconv.Itoa(i), Service: service, Slots: 6}}
 		c.start("127.0.0.1:0")
 	}
 	f.t.Cleanup(func() {
-		crowd.mu.Lock()
-		crowd.stopped = true
-		for _, s := range crowd.servers {
+		group.mu.Lock()
+		group.stopped = true
+		for _, s := range group.servers {
 			_ = s.Close()
 		}
-		crowd.mu.Unlock()
-		crowd.serving.Wait()
+		group.mu.Unlock()
+		group.serving.Wait()
 	})
-	return crowd
+	return group
 }
 
-// afterThird counts the times at which the crashing request reached an upstream later
-// than toldWithin after the third end, and the ends.
+// afterThird returns how often the crashing request reached an upstream later than toldWithin
+// after the third crash, and the number of crashes.
 func (c *crashers) afterThird() (reached, ends int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.ends) < 3 {
 		return 0, len(c.ends)
 	}
-	told := c.ends[2].Add(toldWithin)
+	known := c.ends[2].Add(toldWithin)
 	for _, at := range c.reached {
-		if at.After(told) {
+		if at.After(known) {
 			reached++
 		}
 	}
@@ -143,20 +143,12 @@
 	}
 }
 
-// A request that ended each upstream that ran it came again and again, at any entry. Each
-// time it was routed as any other, sent to a second upstream after the first had ended, and
-// ended both; 26 engines ended within 35 s, and half of the chats beside it were cut. The
-// lines of one such request, of which every entry wrote the like:
-//
-//	44.097  request-routed   why=first    upstream=i-c2ceebd8fa
-//	44.845  answer-rejected  error=connection to upstream broke: unexpected EOF  events=0
-//	44.845  request-routed   why=resumed  upstream=i-9ae9312432
-//	44.848  answer-rejected  error=dial tcp4 10.3.64.25:8346: connect: connection refused
-//	44.848  request-routed   why=refused unrun  upstream=i-5e823349a8
-//	45.552  answer-rejected  error=connection to upstream broke: unexpected EOF  events=0
-//
-// Nothing remembered the request under which an upstream had ended.
-func TestRequestThatCrashesUpstreamsIsKeptFromThem(t *testing.T) {
+// TestPoisonRequestIsQuarantined guards against a poison request that crashes one upstream after
+// another. Without a record of the requests during which upstreams crashed, each repetition at
+// any entry is routed like a new request, sent to a second upstream once the first has crashed,
+// and crashes both. One such request crashed 26 engines within 35 s, and half of the chats beside
+// it were cut.
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	for _, tc := range []struct {
 		name, path, service string
 		answers             http.HandlerFunc
@@ -170,15 +162,15 @@
 		crowd := f.addCrashers(tc.service, 8, tc.answers)
 		asked, served := f.askBeside(tc.path)
 		if reached, ends := crowd.afterThird(); reached > mostAfterVerdict || ends > mostEnds {
-			t.Errorf("%s: it reached upstreams %d times after the third had ended, and ended %d; want %d and %d at most", tc.name, reached, ends, mostAfterVerdict, mostEnds)
+			t.Errorf("%s: the request reached upstreams %d times after the third crash and crashed %d; want at most %d and %d", tc.name, reached, ends, mostAfterVerdict, mostEnds)
 		}
 		if served*10 < asked*9 {
-			t.Errorf("%s: %d of %d sound requests served", tc.name, served, asked)
+			t.Errorf("%s: %d of %d healthy requests served", tc.name, served, asked)
 		}
 	}
 }
 
-// askBeside sends sound requests beside a crashing one that comes again and again.
+// askBeside sends healthy requests while a crashing one is repeated.
 func (f *fixture) askBeside(path string) (asked, served int) {
 	var callers sync.WaitGroup
 	defer callers.Wait()
@@ -205,17 +197,17 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 }
 
-// TestWhoIsSuspected covers which ends of answers make a request a suspect.
-func TestWhoIsSuspected(t *testing.T) {
+// TestOnlyCrashesMakeASuspect covers which broken answers make a request a suspect.
+func TestOnlyCrashesMakeASuspect(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		leaves    bool
 		dies      bool
 		suspected bool
 	}{
-		{"its upstream ended", false, true, true},
-		{"its upstream ended by plan", true, true, false},
-		{"its answer was lost", false, false, false},
+		{"its upstream crashed", false, true, true},
+		{"its upstream stopped as planned", true, true, false},
+		{"only its answer was lost", false, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -237,20 +229,20 @@
 			if !tc.suspected {
 				time.Sleep(50 * time.Millisecond)
 			}
-			f.until("the end is judged", func() bool { return (len(f.gateway.Quarantine().List()) == 1) == tc.suspected })
+			f.until("the broken answer is judged", func() bool { return (len(f.gateway.Quarantine().List()) == 1) == tc.suspected })
 		})
 	}
 }
 
-// TestSuspectIsNotHedged covers a slow call under which an upstream ended before: it goes to
-// no second upstream as well.
+// TestSuspectIsNotHedged: a slow call is not sent to a second upstream as well if an upstream
+// crashed during an earlier run of it.
 func TestSuspectIsNotHedged(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		ends int
 		runs int
 	}{
-		{"a request of which nothing is known", 0, 2},
+		{"a request without crashes", 0, 2},
 		{"a suspect", 1, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -259,7 +251,7 @@
 				time.Sleep(150 * time.Millisecond)
 				serveOK(w, r)
 			}
-			ups := []*upstream{f.add("app", "a", slow), f.add("app", "b", slow)}
+			upstreams := []*upstream{f.add("app", "a", slow), f.add("app", "b", slow)}
 			run, err := f.gateway.quarantine.Enter(t.Context(), quarantine.Request{Fingerprint: quarantine.FingerprintOf(http.MethodPost, "host", pathSafe, "acme", []byte("body"))}, 0)
 			if err != nil {
 				t.Fatal(err)
@@ -273,7 +265,7 @@
 			if got := f.ask(pathSafe); got.status != http.StatusOK {
 				t.Fatalf("status %d, %v", got.status, got.err)
 			}
-			if runs := ups[0].runs() + ups[1].runs(); runs != tc.runs {
+			if runs := upstreams[0].runs() + upstreams[1].runs(); runs != tc.runs {
 				t.Errorf("%d runs, want %d", runs, tc.runs)
 			}
 		})
--- a/internal/gateway/eventreader.go
+++ b/internal/gateway/eventreader.go
@@ -5,12 +5,12 @@
 	"io"
 )
 
-// eventReader cuts a body into whole events of a text/event-stream, so that an
-// event that breaks off half-way never reaches a caller.
+// eventReader splits a text/event-stream body into complete events, so that a caller never gets
+// part of an event.
 type eventReader struct {
 	r   io.Reader
 	buf []byte
-	// start and end bound what was read and not handed out.
+	// start and end delimit the bytes that were read but not returned yet.
 	start, end int
 }
 
@@ -20,8 +20,8 @@
 	return &eventReader{r: r, buf: make([]byte, eventBuffer)}
 }
 
-// next returns the bytes of one or more whole events. The bytes hold until the
-// next call. At the end of the body it returns what is left over with the error.
+// next returns the bytes of one or more complete events. They are valid until the next call. At
+// the end of the body, next returns the remaining bytes with the error.
 func (e *eventReader) next() ([]byte, error) {
 	for {
 		if n := wholeEvents(e.buf[e.start:e.end]); n > 0 {
@@ -52,13 +52,13 @@
 	return err
 }
 
-// The blank line that ends an event, as the two usual line ends write it.
+// The blank line that ends an event, for both common line endings.
 var (
 	blankLine     = []byte("\n\n")
 	blankLineCRLF = []byte("\r\n\r\n")
 )
 
-// wholeEvents returns the length of the whole events at the start of b.
+// wholeEvents returns the length of the complete events at the start of b.
 func wholeEvents(b []byte) int {
 	n := 0
 	if i := bytes.LastIndex(b, blankLine); i >= 0 {
@@ -72,8 +72,8 @@
 
 var idField = []byte("id:")
 
-// lastEventID returns the identifier of the last event in b that has one and
-// the number of events with one.
+// lastEventID returns the ID of the last event in b that has one, and the number of events that
+// have one.
 func lastEventID(b []byte) (id string, n int) {
 	for line := range bytes.Lines(b) {
 		if !bytes.HasPrefix(line, idField) {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -28,7 +28,7 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// The headers of the protocol of these tests.
+// The headers of the test protocol.
 const (
 	testID       = "Test-Id"
 	testKey      = "Test-Key"
@@ -137,7 +137,7 @@
 	}
 }
 
-// upstream is a plain upstream or an engine that a test scripts.
+// upstream is a plain upstream or an engine whose answers a test defines.
 type upstream struct {
 	id      string
 	address string
@@ -158,7 +158,7 @@
 	return u.seen[i]
 }
 
-// fixture is a gateway with its callers' server and upstreams.
+// fixture is a gateway with a server for callers, and its upstreams.
 type fixture struct {
 	t       *testing.T
 	gateway *Gateway
@@ -169,7 +169,7 @@
 	records []fleet.Record
 	// last is the server of the upstream that was added last.
 	last *httptest.Server
-	// peers are the other entries that are heard.
+	// peers are the other entries that are reachable.
 	peers map[string]gossip.Peer
 	delay time.Duration
 }
@@ -211,15 +211,15 @@
 	return f
 }
 
-// testTimeout is longer than any stand-in takes on a machine that is busy: with two seconds a
-// stream of some hundred milliseconds was cut once beside a load of 45 on 12 cores.
+// testTimeout is longer than any test server takes on a busy machine: 2 s cut a stream of some
+// hundred milliseconds once at a load of 45 on 12 cores.
 const testTimeout = 30 * time.Second
 
-// testHeaderBytes is the limit for headers in these tests.
+// testHeaderBytes is the size limit for headers in these tests.
 const testHeaderBytes = 4000
 
-// testTable is the table of a version; "N revoked" names one without keys, "N later" one
-// with a further service.
+// testTable returns the route table of a version. The text "N revoked" stands for version N
+// without keys, and "N later" for version N with an additional service.
 func testTable(text string) *routetable.Table {
 	version, more, _ := strings.Cut(text, " ")
 	n, _ := strconv.Atoi(version)
@@ -251,7 +251,7 @@
 	return routetable.New(routetable.Version(n), routes, services, routetable.Limits{BodyBytes: 1000, HeaderBytes: testHeaderBytes}, []routetable.Account{{Name: "acme", Keys: keys}})
 }
 
-// newRun returns the run of a request of which nothing is known.
+// newRun returns the run of a request without recorded crashes.
 func newRun() *quarantine.Run {
 	run, err := quarantine.New(events.Nop(), time.Now, func() {}).Enter(context.Background(), quarantine.Request{}, 0)
 	if err != nil {
@@ -260,7 +260,7 @@
 	return run
 }
 
-// add starts an upstream of a service that answers by serve.
+// add starts an upstream of a service that answers with serve.
 func (f *fixture) add(service, id string, serve http.HandlerFunc) *upstream {
 	f.t.Helper()
 	u := &upstream{id: id}
@@ -282,7 +282,7 @@
 	return u
 }
 
-// answer is what a caller got.
+// answer is what a caller receives.
 type answer struct {
 	status int
 	body   string
@@ -322,7 +322,7 @@
 	return false
 }
 
-// The answers of plain upstreams.
+// Handlers of plain upstreams.
 
 func serveOK(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(testProof, "p")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,9 @@
-// Package gateway serves callers over a route table: it checks who they are,
-// chooses a service and an upstream, relays the answer, moves running
-// generations away from engines that leave, and says plainly what became of
-// each request. How requests are spelled on the wire is left to a
-// protocol.Protocol.
+// Package gateway serves callers according to a route table: it checks their keys, chooses a
+// service and an upstream, relays the answer, and moves running generations away from engines
+// that are leaving. Each gateway process of a deployment, called an entry, runs one Gateway,
+// which package daemon connects to the store and to the other entries. Every request ends with an
+// answer that shows whether it may have run, or with a cut connection if part of its answer was
+// already sent. The wire format is left to a protocol.Protocol.
 package gateway
 
 import (
@@ -26,28 +27,28 @@
 	"github.com/sparshore/sparshore/internal/routing"
 )
 
-// Settings are the fixed numbers of a Gateway.
+// Settings configures a Gateway.
 type Settings struct {
-	// Name is the entry's own, by which others know it.
+	// Name is the name of this entry among all entries.
 	Name string
-	// Life tells its starts apart.
+	// Life identifies this incarnation of the entry.
 	Life string
-	// Zone is the availability zone the entry runs in.
+	// Zone is the availability zone of the entry.
 	Zone string
-	// RoutesTrusted is how long a route table may go unconfirmed before it no
-	// longer proves that a key is still valid, or that one is unknown.
+	// RoutesTrusted is how long a route table is trusted without confirmation. An older table
+	// proves neither that a key is still valid nor that a key does not exist.
 	RoutesTrusted time.Duration
-	// HardKeyBound refuses requests with keys beyond that time. Without it, keys
-	// that the last known table holds are served for as long as the store is away.
+	// HardKeyBound refuses requests with keys if the table is older than that. Without it, the
+	// keys in the last known table are accepted for as long as the store is unavailable.
 	HardKeyBound bool
-	// RetryRatio, RetryExtra and RetryWindow bound the attempts beyond the first
-	// to the upstreams of one service, over all entries.
+	// RetryRatio, RetryExtra and RetryWindow define the retry budget: the limit on attempts
+	// beyond the first at the upstreams of one service, over all entries.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
 }
 
-// Gateway serves callers.
+// Gateway is the http.Handler that serves callers.
 type Gateway struct {
 	settings Settings
 	routes   *belief.Routes
@@ -58,14 +59,15 @@
 	met      *metrics
 	now      func() time.Time
 	ledger   *ledger
-	// stopBy is when requests in flight are given up in a planned stop; zero while
-	// none is under way. noticedAt is when the balancer has noticed the stop.
+	// stopBy is when requests have to end in a planned stop, and zero if none is under way.
+	// noticedAt is when the load balancer has noticed the stop.
 	stopBy    instant
 	noticedAt instant
-	// stopping ends when a planned stop gives up the requests in flight, by giveUpAll.
+	// stopping is cancelled by giveUpAll when a planned stop gives up the requests in flight.
 	stopping  context.Context
 	giveUpAll context.CancelCauseFunc
-	// inFlight counts callers' requests; askedAt is when the latest one began or ended.
+	// inFlight is the number of callers' requests; askedAt is when the latest one started or
+	// ended.
 	inFlight atomic.Int64
 	askedAt  instant
 	pace     pace
@@ -73,13 +75,12 @@
 	moveRoom placement.MoveRoom
 	prefixes *prefixes
 	trusted  atomic.Bool
-	// quarantine knows the requests that end upstreams.
+	// quarantine tracks the requests that crash upstreams.
 	quarantine *quarantine.Set
-	// began is when this entry began, and listed is set once it has read the list of
-	// entries.
+	// began is when this entry started. listed is set once it has read the list of entries.
 	began  time.Time
 	listed atomic.Bool
-	// limits knows how much limited upstreams take.
+	// limits tracks the rate limits that upstreams state.
 	limits *limits.Set
 
 	mu sync.Mutex
@@ -88,31 +89,32 @@
 	budgets map[string]*routing.Window
 	streams map[string]map[*stream]bool
 	moving  map[string]bool
-	// overloads are by service.
+	// overloads holds the overload state of each service.
 	overloads map[string]*placement.Overload
-	// returns orders callers that were refused while all upstreams of their service rested.
+	// returns staggers the retries of callers that were refused while all upstreams of their
+	// service were in back-off.
 	returns placement.Returns
-	// inquired tells when each engine was last asked for its state.
+	// inquired holds the time at which each engine was last asked for its state.
 	inquired map[string]time.Time
-	// looking are the upstreams of which it is being found out whether they ended.
+	// looking holds the upstreams that are being probed for a crash.
 	looking map[string]bool
 	others  Others
 }
 
-// Others are the other entries of the deployment.
+// Others gives access to the other entries of the deployment.
 type Others struct {
-	// Nudge tells them soon what this one has in flight, and Urge at once.
+	// Nudge sends them the load of this entry soon, and Urge sends it at once.
 	Nudge func()
 	Urge  func()
-	// Heard returns those that are heard, and what they say.
+	// Heard returns the reachable entries and what they reported.
 	Heard func() map[string]gossip.Peer
-	// Delay is how long after an entry of a zone placed a request this one is expected
-	// to hear of it, if the other one was nudged or not.
+	// Delay returns how long it takes this entry to learn of a request that an entry in a zone
+	// placed. nudged says whether that entry called Nudge for the request.
 	Delay func(zone string, nudged bool) time.Duration
-	// Told is the time within which all know what they were urged to hear, and the
-	// silence after which one must not be counted on.
+	// Told returns the time within which all entries receive what Urge sends, and the silence
+	// after which an entry must not be relied on.
 	Told func() (told, silence time.Duration)
-	// Limits is how they share what limited upstreams take.
+	// Limits is how entries share the capacity of rate-limited upstreams.
 	Limits limits.Others
 }
 
@@ -130,7 +132,7 @@
 	return g
 }
 
-// Ready tells the balancer whether to send callers here.
+// Ready answers the load balancer's readiness check.
 func (g *Gateway) Ready(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case !g.StopBy().IsZero():
@@ -144,18 +146,20 @@
 	}
 }
 
-// othersWithin is how long after its start an entry waits to learn who else serves: a few tries to
-// read the list of entries while the store is slow.
+// othersWithin is how long after its start an entry stays unready while it does not know the
+// other entries. It allows a few attempts to read the list of entries while the store is slow.
 const othersWithin = 5 * time.Second
 
-// knowsOthers reports whether this entry knows who else serves. One that does not judges requests
-// that end upstreams alone and takes what all share, so callers go to the others meanwhile.
+// knowsOthers reports whether this entry knows which other entries serve, or has waited
+// othersWithin for that. An entry that does not know them judges poison requests alone and takes
+// the whole of the budgets that all entries share, so callers are sent to the other entries
+// meanwhile.
 func (g *Gateway) knowsOthers() bool {
 	return g.listed.Load() || len(g.others.Heard()) > 0 || g.now().Sub(g.began) > othersWithin
 }
 
-// routesTrusted reports whether the route table is known and young enough to
-// serve requests with keys by it, and notes each change of that.
+// routesTrusted reports whether there is a route table that is recent enough to check keys with,
+// and logs each change.
 func (g *Gateway) routesTrusted() bool {
 	table, confirmed := g.routes.Current()
 	age := g.now().Sub(confirmed)
@@ -179,8 +183,7 @@
 	return table != nil && !g.settings.HardKeyBound
 }
 
-// routesAge is the time since the route table was last confirmed; 0 while none
-// is known.
+// routesAge returns the time since the route table was last confirmed, or 0 if there is none.
 func routesAge(routes *belief.Routes, now func() time.Time) time.Duration {
 	table, confirmed := routes.Current()
 	if table == nil {
@@ -189,53 +192,52 @@
 	return now().Sub(confirmed)
 }
 
-// Load returns what this entry has in flight, by upstream.
+// Load returns this entry's load in flight by upstream.
 func (g *Gateway) Load() map[string]gossip.Load { return g.ledger.snapshot() }
 
-// Known returns what all entries that are heard have in flight at an upstream.
+// Known returns the load in flight of all reachable entries at an upstream.
 func (g *Gateway) Known(upstream string) gossip.Load { return g.ledger.total(upstream) }
 
-// PeerLoad takes over what another entry has in flight.
+// PeerLoad replaces the load in flight of another entry.
 func (g *Gateway) PeerLoad(name string, loads map[string]gossip.Load) { g.ledger.setPeer(name, loads) }
 
-// ForgetSilent forgets the load of the entries that are not heard any more: their
-// connections to engines ended with them, and what they had in flight must not keep
-// others from being admitted.
+// ForgetSilent drops the load of entries that are no longer reachable. Their connections to
+// engines ended with them, and their load must not keep other requests from being admitted.
 func (g *Gateway) ForgetSilent() {
 	peers := g.others.Heard()
 	g.ledger.keepPeers(func(name string) bool { _, ok := peers[name]; return ok })
 	g.prefixes.forget(func(engine string) bool { _, ok := g.fleet.Get(engine); return ok }, g.now())
 }
 
-// Registered sets how many entries are listed. The retry budget is shared among these
-// or those that are heard, whichever are more.
+// Registered sets how many entries the store lists. The retry budget is shared among these or
+// among the reachable entries, whichever are more.
 func (g *Gateway) Registered(registered int) {
 	g.listed.Store(true)
 	g.limits.Listed(registered)
-	heard := len(g.others.Heard()) + 1
+	reachable := len(g.others.Heard()) + 1
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.share(max(heard, registered))
+	g.share(max(reachable, registered))
 }
 
-// CountHeard takes over that more entries are heard than were listed: those that start
-// together find only some of the others in the list. The number falls with the list
-// only, since an entry that hears nobody must not take the whole budget.
+// CountHeard raises the number of entries if more are reachable than were listed: entries that
+// start together find only some of the others in the list. Only Registered lowers the number,
+// since an entry that reaches no other entry must not take the whole budget.
 func (g *Gateway) CountHeard() {
-	heard := len(g.others.Heard()) + 1
-	told, silence := g.others.Told()
+	reachable := len(g.others.Heard()) + 1
+	deliveryTime, silenceLimit := g.others.Told()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if heard > g.entries {
-		g.share(heard)
-		g.limits.Listed(heard)
+	if reachable > g.entries {
+		g.share(reachable)
+		g.limits.Listed(reachable)
 	}
 	for _, b := range g.budgets {
-		b.Messages(told, silence)
+		b.Messages(deliveryTime, silenceLimit)
 	}
 }
 
-// share shares the retry budgets among a number of entries. It needs the lock.
+// share divides the retry budgets among a number of entries. g.mu must be held.
 func (g *Gateway) share(entries int) {
 	g.entries = entries
 	for _, b := range g.budgets {
@@ -243,7 +245,7 @@
 	}
 }
 
-// RetryUse returns what this entry took of the retry budgets, by service.
+// RetryUse returns this entry's use of the retry budgets by service.
 func (g *Gateway) RetryUse() map[string]routing.Use {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -254,11 +256,11 @@
 	return out
 }
 
-// PeerRetryUse takes over what another entry took of the retry budgets, and when it last heard
-// this one.
-func (g *Gateway) PeerRetryUse(name string, uses map[string]routing.Use, heardUs time.Time) {
+// PeerRetryUse records another entry's use of the retry budgets, and when that entry last
+// received a message from this one.
+func (g *Gateway) PeerRetryUse(name string, uses map[string]routing.Use, lastHeardUs time.Time) {
 	for service, u := range uses {
-		g.budget(service).HeardBy(name, u, heardUs)
+		g.budget(service).HeardBy(name, u, lastHeardUs)
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,9 +10,10 @@
 	"github.com/sparshore/sparshore/internal/gossip"
 )
 
-// TestEntriesThatShareTheRetryBudget: an entry that found few others in the list counts
-// those it hears; one that hears nobody any more goes on sharing with all.
-func TestEntriesThatShareTheRetryBudget(t *testing.T) {
+// TestNumberOfEntriesSharingRetryBudget: an entry that found few others in the list also counts
+// those that it can reach. An entry that can no longer reach any goes on sharing with all of
+// them.
+func TestNumberOfEntriesSharingRetryBudget(t *testing.T) {
 	f := newFixture(t)
 	heard := map[string]gossip.Peer{}
 	f.gateway.others.Heard = func() map[string]gossip.Peer { return heard }
@@ -28,18 +29,18 @@
 		heard[fmt.Sprint(i)] = gossip.Peer{}
 	}
 	f.gateway.CountHeard()
-	check("nine others are heard", 10)
+	check("nine others are reachable", 10)
 	clear(heard)
 	f.gateway.CountHeard()
-	check("nobody is heard any more", 10)
+	check("no other entry is reachable any more", 10)
 	f.gateway.Registered(2)
 	check("the list has two", 2)
 }
 
-// An entry that knew no other one told the balancer that it is ready: three that heard of each
-// other 3 to 4 s after their start judged a request that ends upstreams each alone, and it ended
-// six of them.
-func TestReadyOnceOthersAreKnown(t *testing.T) {
+// TestReadyOnceOtherEntriesAreKnown guards against an entry that reports ready before it knows
+// any other entry. Three entries that learned of each other 3 to 4 s after their start each
+// judged a poison request alone, and it crashed six upstreams.
+func TestReadyOnceOtherEntriesAreKnown(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		listed bool
@@ -49,8 +50,8 @@
 	}{
 		{"nothing is known", false, nil, 0, http.StatusServiceUnavailable},
 		{"the list was read", true, nil, 0, http.StatusOK},
-		{"another entry is heard", false, map[string]gossip.Peer{"b": {}}, 0, http.StatusOK},
-		{"the list cannot be read for long", false, nil, othersWithin + time.Second, http.StatusOK},
+		{"another entry is reachable", false, map[string]gossip.Peer{"b": {}}, 0, http.StatusOK},
+		{"the list has been unreadable for long", false, nil, othersWithin + time.Second, http.StatusOK},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/gateway/inquire.go
+++ b/internal/gateway/inquire.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// inquireWithin bounds a question for an engine's state.
+	// inquireWithin limits the time of a query for an engine's state.
 	inquireWithin = 600 * time.Millisecond
-	// inquireEach is the least time between two questions to one engine: its
-	// answers are about half a second old.
+	// inquireEach is the minimum interval between two queries to one engine, whose answers
+	// are about half a second old.
 	inquireEach = 200 * time.Millisecond
 )
 
-// InquireAll asks the engines that run this entry's streams whether they leave.
-// It is for times in which the store cannot tell.
+// InquireAll asks the engines that run this entry's streams whether they are leaving. It is for
+// times at which the store is unavailable.
 func (g *Gateway) InquireAll(ctx context.Context) {
 	for _, id := range g.Streams() {
 		if u, ok := g.fleet.Get(id); ok && u.State() != fleet.Leaving {
-			go g.inquire(ctx, u, "the store cannot tell")
+			go g.inquire(ctx, u, "the store is unavailable")
 		}
 	}
 }
 
-// inquire asks one engine whether it leaves.
+// inquire asks one engine whether it is leaving.
 func (g *Gateway) inquire(ctx context.Context, u fleet.Upstream, why string) {
 	if u, known := g.fleet.Get(u.ID); !known || u.InBackOff(g.now()) || !g.mayInquire(u.ID) {
 		return
 	}
-	// What is learnt is noted; nobody waits for more.
+	// ask records the state; the return values are not needed.
 	_, _ = g.ask(ctx, u, why)
 }
 
-// ask asks one engine for its state.
+// ask queries one engine for its state.
 func (g *Gateway) ask(ctx context.Context, u fleet.Upstream, why string) (protocol.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, inquireWithin)
 	defer cancel()
 	state, err := g.askState(ctx, u)
 	if err == nil && state.Born != 0 && u.Born != 0 && state.Born != u.Born {
-		// Reports are old, and a start may have the address of the one before: this one
-		// tells nothing of the start that was asked.
+		// Reports are delayed, and a restarted engine may have the address of the incarnation
+		// before it. This report says nothing about the incarnation that was asked.
 		state, err = protocol.EngineState{}, fmt.Errorf("%w: born %d, want %d", errOtherStart, state.Born, u.Born)
 	}
 	g.rec.Note(events.UpstreamAsked, "", "upstream", u.ID, "why", why, "leaving", state.Leaving, "waiting", state.Waiting, "unbegun", state.Unbegun, "error", err)
@@ -56,8 +56,8 @@
 	return state, err
 }
 
-// errOtherStart is for a report that another start of the engine made.
-var errOtherStart = errors.New("report is of another start")
+// errOtherStart means that a report comes from another incarnation of the engine.
+var errOtherStart = errors.New("report comes from another incarnation of the engine")
 
 func (g *Gateway) mayInquire(id string) bool {
 	g.mu.Lock()
--- a/internal/gateway/instant_test.go
+++ b/internal/gateway/instant_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// steadyMark stands in the text of times that have a reading of the steady clock.
+// steadyMark is part of the text of a time that has a monotonic clock reading.
 const steadyMark = " m="
 
-// TestInstantKeepsTheSteadyClock: a moment that lost its steady reading would be
-// compared by the time of day, which jumps.
-func TestInstantKeepsTheSteadyClock(t *testing.T) {
+// TestInstantKeepsMonotonicReading: times without a monotonic reading are compared by the wall
+// clock, which may jump.
+func TestInstantKeepsMonotonicReading(t *testing.T) {
 	var i instant
 	if !i.Get().IsZero() {
-		t.Error("a moment that was never set is not zero")
+		t.Error("an instant that was never set is not zero")
 	}
 	at := time.Now()
 	i.Set(at)
 	if got := i.Get().String(); got != at.String() || !strings.Contains(got, steadyMark) {
-		t.Errorf("got %s, want %s with its steady reading", got, at)
+		t.Errorf("got %s, want %s with its monotonic reading", got, at)
 	}
 }
 
-// TestStopBoundsKeepTheSteadyClock covers the moments of a planned stop.
-func TestStopBoundsKeepTheSteadyClock(t *testing.T) {
+// TestStopTimesKeepMonotonicReading covers the times of a planned stop.
+func TestStopTimesKeepMonotonicReading(t *testing.T) {
 	f := newFixture(t)
 	by := time.Now().Add(7 * time.Second)
 	f.gateway.Drain(by)
 	if got := f.gateway.StopBy().String(); got != by.String() || !strings.Contains(got, steadyMark) {
-		t.Errorf("stops by %s, want %s with its steady reading", got, by)
+		t.Errorf("stops by %s, want %s with its monotonic reading", got, by)
 	}
 }
--- a/internal/gateway/isolated_test.go
+++ b/internal/gateway/isolated_test.go
@@ -9,11 +9,11 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
-// suspected returns the run of a request under which some starts ended.
+// suspected returns the run of a request during which some incarnations of upstreams crashed.
 func (f *fixture) suspected(body string, starts ...string) *quarantine.Run {
 	f.t.Helper()
-	q := quarantine.Request{Fingerprint: quarantine.FingerprintOf(http.MethodPost, "host", pathSafe, "acme", []byte(body))}
-	run, err := f.gateway.quarantine.Enter(f.t.Context(), q, 0)
+	req := quarantine.Request{Fingerprint: quarantine.FingerprintOf(http.MethodPost, "host", pathSafe, "acme", []byte(body))}
+	run, err := f.gateway.quarantine.Enter(f.t.Context(), req, 0)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -22,31 +22,32 @@
 		f.gateway.quarantine.Ended(start)
 	}
 	run.Leave()
-	run, err = f.gateway.quarantine.Enter(f.t.Context(), q, 0)
+	run, err = f.gateway.quarantine.Enter(f.t.Context(), req, 0)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return run
 }
 
-// TestSuspectsRunApart covers where requests go while a suspect runs: sound ones elsewhere if
-// they can, another suspect under which two ended nowhere near it, and only while most
-// upstreams are there.
-func TestSuspectsRunApart(t *testing.T) {
+// TestSuspectsAreIsolated covers where requests go while a suspect runs. Healthy requests go to
+// other upstreams if possible. A suspect with two crashes goes only to upstreams that run no
+// other suspect, and only while most upstreams are available.
+func TestSuspectsAreIsolated(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// ends are those under the request, and broken upstreams whose connections broke.
+		// ends are the incarnations that crashed during the request, and broken the upstreams
+		// whose connections broke.
 		ends   []string
 		broken []string
-		// other is where the other suspect runs; empty for nowhere.
+		// other is where the other suspect runs; empty if it does not run.
 		other string
 		want  map[string]bool
 	}{
-		{"a sound request", nil, nil, "a", map[string]bool{"b": true, "c": true}},
-		{"a suspect with two ends", []string{"gone 1", "gone 2"}, nil, "a", map[string]bool{"b": true, "c": true}},
-		{"a suspect with two ends, one of three upstreams away", []string{"gone 1", "gone 2"}, []string{"b"}, "a", map[string]bool{"c": true}},
-		{"a suspect with two ends, two of three upstreams away", []string{"gone 1", "gone 2"}, []string{"b", "c"}, "a", map[string]bool{"": true}},
-		{"a suspect with two ends, two of three upstreams away, and no other one runs", []string{"gone 1", "gone 2"}, []string{"b", "c"}, "", map[string]bool{"": true}},
+		{"a healthy request", nil, nil, "a", map[string]bool{"b": true, "c": true}},
+		{"a suspect with two crashes", []string{"gone 1", "gone 2"}, nil, "a", map[string]bool{"b": true, "c": true}},
+		{"a suspect with two crashes, one of three upstreams unavailable", []string{"gone 1", "gone 2"}, []string{"b"}, "a", map[string]bool{"c": true}},
+		{"a suspect with two crashes, two of three upstreams unavailable", []string{"gone 1", "gone 2"}, []string{"b", "c"}, "a", map[string]bool{"": true}},
+		{"a suspect with two crashes, two of three upstreams unavailable, no other suspect running", []string{"gone 1", "gone 2"}, []string{"b", "c"}, "", map[string]bool{"": true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestSuspectThatCannotRunApart covers what callers get of it: it is refused at once, unrun, with a
-// time to come back.
-func TestSuspectThatCannotRunApart(t *testing.T) {
+// TestSuspectThatCannotBeIsolatedIsRefused: such a request is refused at once with a retry time,
+// without being sent to an upstream.
+func TestSuspectThatCannotBeIsolatedIsRefused(t *testing.T) {
 	f := newFixture(t)
 	u := f.add("app", "a", serveOK)
 	f.suspected("other", "gone 3").SentTo("a")
@@ -81,6 +82,6 @@
 	start := time.Now()
 	got := f.ask(pathSafe)
 	if got.status != http.StatusServiceUnavailable || got.header.Get(testBack) == "" || u.runs() != 0 || time.Since(start) > time.Second {
-		t.Errorf("status %d, back %q, %d runs after %s; want 503 with a time to come back, unrun, at once", got.status, got.header.Get(testBack), u.runs(), time.Since(start))
+		t.Errorf("status %d, retry time %q, %d runs after %s; want 503 at once with a retry time and no runs", got.status, got.header.Get(testBack), u.runs(), time.Since(start))
 	}
 }
--- a/internal/gateway/lateanswer_test.go
+++ b/internal/gateway/lateanswer_test.go
@@ -11,17 +11,18 @@
 	"github.com/sparshore/sparshore/internal/standin"
 )
 
-// A call's answer had come before its time limit, and the entry did not get to read it until the
-// limit was over: the caller got a 504, though the answer was there. It is delivered, late.
-func TestAnswerThatCameBeforeTheTimeLimit(t *testing.T) {
+// TestAnswerReceivedBeforeDeadlineIsDelivered guards against a 504 for a call whose answer
+// arrived before its deadline. It comes about if the process gets no CPU time to read the answer
+// until the deadline has passed. The answer is delivered late.
+func TestAnswerReceivedBeforeDeadlineIsDelivered(t *testing.T) {
 	const limit, stall = 150 * time.Millisecond, 170 * time.Millisecond
 	for _, tc := range []struct {
 		name   string
 		serve  http.HandlerFunc
 		status int
 	}{
-		{"it is there", serveOK, http.StatusOK},
-		{"it is not", func(http.ResponseWriter, *http.Request) { time.Sleep(2 * stall) }, http.StatusGatewayTimeout},
+		{"the answer arrived in time", serveOK, http.StatusOK},
+		{"no answer arrived in time", func(http.ResponseWriter, *http.Request) { time.Sleep(2 * stall) }, http.StatusGatewayTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/gateway/ledger.go
+++ b/internal/gateway/ledger.go
@@ -9,15 +9,16 @@
 	"github.com/sparshore/sparshore/internal/placement"
 )
 
-// ledger counts what this entry and the others have in flight at each upstream.
+// ledger tracks the load of this entry and the others in flight at each upstream.
 type ledger struct {
 	mu    sync.Mutex
 	own   map[string]gossip.Load
 	peers map[string]map[string]gossip.Load
-	// totals are the sums over this entry and the others. They are kept, not worked
-	// out: a decision looks at every upstream of a service.
+	// totals are the sums over this entry and the others. They are maintained and not computed on
+	// demand, since a placement decision reads those of every upstream of a service.
 	totals map[string]gossip.Load
-	// placed counts what the others were lately heard to place at each upstream.
+	// placed counts the requests that other entries recently reported to have placed at each
+	// upstream.
 	placed map[string]placement.Decaying
 	now    func() time.Time
 }
@@ -26,12 +27,11 @@
 	return &ledger{own: map[string]gossip.Load{}, peers: map[string]map[string]gossip.Load{}, totals: map[string]gossip.Load{}, placed: map[string]placement.Decaying{}, now: now}
 }
 
-// placedFor is the time over which placements are counted: long enough for some tens of
-// them in a zone of 24 engines, short enough to follow a burst.
+// placedFor is the time constant of the decay of placement counts. It is long enough for some
+// tens of placements in a zone of 24 engines, and short enough to follow a burst.
 const placedFor = 2 * time.Second
 
-// claim is the part of an upstream that one request takes; it follows the
-// request from its start to its end.
+// claim is the load of one request at an upstream, from the request's start to its end.
 type claim struct {
 	ledger   *ledger
 	upstream string
@@ -39,7 +39,7 @@
 	released bool
 }
 
-// take notes a request at an upstream.
+// take adds the load of a request to an upstream.
 func (l *ledger) take(upstream string, load gossip.Load) *claim {
 	c := &claim{ledger: l, upstream: upstream, load: load}
 	l.mu.Lock()
@@ -48,7 +48,7 @@
 	return c
 }
 
-// change replaces what the request takes.
+// change replaces the load of the request.
 func (c *claim) change(load gossip.Load) {
 	c.ledger.mu.Lock()
 	defer c.ledger.mu.Unlock()
@@ -59,7 +59,7 @@
 	c.load = load
 }
 
-// release gives everything back; more than once is harmless.
+// release removes the load of the request. Repeated calls have no effect.
 func (c *claim) release() {
 	c.ledger.mu.Lock()
 	defer c.ledger.mu.Unlock()
@@ -75,7 +75,7 @@
 	add(l.totals, upstream, load)
 }
 
-// add adds to the load of an upstream; one without load takes no room.
+// add adds to the load of an upstream. Upstreams without load are deleted from loads.
 func add(loads map[string]gossip.Load, upstream string, load gossip.Load) {
 	sum := loads[upstream].Add(load)
 	if sum == (gossip.Load{}) {
@@ -85,7 +85,7 @@
 	loads[upstream] = sum
 }
 
-// setPeer replaces what another entry has in flight; nil forgets it.
+// setPeer replaces the load of another entry; nil removes it.
 func (l *ledger) setPeer(name string, loads map[string]gossip.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,15 +93,15 @@
 }
 
 func (l *ledger) replace(name string, loads map[string]gossip.Load) {
-	before, heard := l.peers[name]
-	for upstream, load := range before {
+	previous, reportedBefore := l.peers[name]
+	for upstream, load := range previous {
 		add(l.totals, upstream, gossip.Load{}.Sub(load))
 	}
 	now := l.now()
 	for upstream, load := range loads {
 		add(l.totals, upstream, load)
-		if more := load.Running - before[upstream].Running; heard && more > 0 {
-			l.placed[upstream] = l.placed[upstream].Add(float64(more), now, placedFor)
+		if added := load.Running - previous[upstream].Running; reportedBefore && added > 0 {
+			l.placed[upstream] = l.placed[upstream].Add(float64(added), now, placedFor)
 		}
 	}
 	if loads == nil {
@@ -111,18 +111,18 @@
 	l.peers[name] = loads
 }
 
-// known returns what all entries have in flight at an upstream, and the number of requests
-// a second that others lately placed there.
+// known returns the load of all entries at an upstream, and how many requests a second the other
+// entries recently placed there.
 func (l *ledger) known(upstream string, now time.Time) (load gossip.Load, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.totals[upstream], l.placed[upstream].Value(now, placedFor) / placedFor.Seconds()
 }
 
-// placedLeast is the count under which it is not worth keeping.
+// placedLeast is the count below which a decayed count is dropped.
 const placedLeast = 0.01
 
-// keepPeers forgets the entries that are not in the set, and placements long ago.
+// keepPeers drops the load of entries that are not known, and decayed placement counts.
 func (l *ledger) keepPeers(known func(name string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,14 +135,14 @@
 	maps.DeleteFunc(l.placed, func(_ string, d placement.Decaying) bool { return d.Value(now, placedFor) < placedLeast })
 }
 
-// total returns what all entries have in flight at an upstream.
+// total returns the load of all entries at an upstream.
 func (l *ledger) total(upstream string) gossip.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.totals[upstream]
 }
 
-// snapshot returns what this entry has in flight, by upstream.
+// snapshot returns this entry's load by upstream.
 func (l *ledger) snapshot() map[string]gossip.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -7,8 +7,8 @@
 	"github.com/sparshore/sparshore/internal/gossip"
 )
 
-// TestLedgerTotals: totals follow own claims and what others say, and nothing is
-// left of loads that ended.
+// TestLedgerTotals: totals follow this entry's claims and the load that other entries report, and
+// nothing remains of load that has ended.
 func TestLedgerTotals(t *testing.T) {
 	l := newLedger(time.Now)
 	load := func(n int) gossip.Load { return gossip.Load{Running: 1, Tokens: n, Held: n / 2} }
@@ -34,6 +34,6 @@
 	}
 	l.setPeer("p", nil)
 	if len(l.totals) != 0 || len(l.own) != 0 || len(l.peers) != 0 {
-		t.Errorf("left behind: %v %v %v", l.totals, l.own, l.peers)
+		t.Errorf("not empty: %v %v %v", l.totals, l.own, l.peers)
 	}
 }
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// limitWindow is the window in which requests at an upstream count.
+	// limitWindow is the window over which the requests at an upstream are counted.
 	limitWindow = 2 * time.Second
-	// limitTold is the time from its first word on in which an entry has to know of a limit.
+	// limitTold is the time after a limit is first stated within which an entry has to obey it.
 	limitTold = 500 * time.Millisecond
 )
 
-// limitedUpstream says that it takes only so many requests a second.
+// limitedUpstream is an upstream that states how many requests a second it accepts.
 type limitedUpstream struct {
 	mu      sync.Mutex
 	rate    float64
 	arrived []time.Time
-	// answers is what it answers; serveOK if it is nil.
+	// answers handles the requests; serveOK does if it is nil.
 	answers http.HandlerFunc
 }
 
@@ -48,7 +48,7 @@
 	l.answers(w, r)
 }
 
-// most is the largest number of requests that came in a window later than a time.
+// most returns the largest number of requests that arrived in one window after a time.
 func (l *limitedUpstream) most(after time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,11 +66,11 @@
 	return most
 }
 
-// allowed is what an upstream of a limit may get in a window: half as much again, for requests
-// that come together, and five.
+// allowed is how many requests a limited upstream may get in a window: half as many again as its
+// limit allows, since requests may arrive together, and five.
 func allowed(rate float64) int { return int(1.5*rate*limitWindow.Seconds()) + 5 }
 
-// askEach sends a request each some milliseconds for a while and returns the answers by status.
+// askEach sends a request after each pause for a while and counts the answers by status.
 func (f *fixture) askEach(path string, pause, lasts time.Duration) map[int]int {
 	var (
 		mu     sync.Mutex
@@ -89,15 +89,14 @@
 	return counts
 }
 
-// A limited upstream named how many requests a second it takes from all entries together, and
-// went on getting as many as before. Of the two that did so at 8 s, one that named 2.7 had got 5,
-// 6, 11 and 4 requests in the seconds before and got 3, 7, 12 and 12 in those after; each of the
-// four entries went on choosing it, first and for retries, and the log line of no choice knew of a
-// limit. Nothing read it. Here one entry sent 53 requests in 2 s where 11 are allowed.
+// TestRateLimitOfUpstreamIsObeyed guards against a gateway that does not read the request rate
+// that an upstream accepts from all entries together, and goes on choosing it for first attempts
+// and retries. An upstream that stated 2.7 requests a second then got up to 12 in a second from
+// four entries, and one entry here sends 53 requests in 2 s where 11 are allowed.
 //
-// Read by each entry for itself it would be kept by one entry and broken by several: see
-// TestUpstreamsGetWhatTheyTakeFromAllEntries in platform/soak.
-func TestUpstreamGetsWhatItTakes(t *testing.T) {
+// This test cannot show a limit that each entry obeys only for itself, which several entries
+// together exceed; a test in platform/soak does.
+func TestRateLimitOfUpstreamIsObeyed(t *testing.T) {
 	f := newFixture(t)
 	limited := &limitedUpstream{rate: 2}
 	f.add("app", "limited", limited.serve)
@@ -106,18 +105,18 @@
 	begun := time.Now()
 	counts := f.askEach(pathSafe, 15*time.Millisecond, 3*time.Second)
 	if got := limited.most(begun.Add(limitTold)); got > allowed(limited.rate) {
-		t.Errorf("it got %d requests in %s, and takes %v a second: want at most %d", got, limitWindow, limited.rate, allowed(limited.rate))
+		t.Errorf("the upstream got %d requests in %s at a limit of %v a second; want at most %d", got, limitWindow, limited.rate, allowed(limited.rate))
 	}
 	for status, n := range counts {
 		if status != http.StatusOK {
-			t.Errorf("%d requests were answered %d, and two other upstreams serve", n, status)
+			t.Errorf("%d requests got status %d although two other upstreams serve", n, status)
 		}
 	}
 }
 
-// Where each upstream of a service is limited, what cannot be served is refused at once and unrun,
-// with a time to come back, and what can be is served.
-func TestWhatLimitedUpstreamsCannotTake(t *testing.T) {
+// TestExcessLoadIsRefusedWhenAllUpstreamsAreLimited: requests within the limits are served.
+// Requests beyond them are refused at once with a retry time, without being sent to an upstream.
+func TestExcessLoadIsRefusedWhenAllUpstreamsAreLimited(t *testing.T) {
 	for _, tc := range []struct {
 		name, service, path string
 		answers             http.HandlerFunc
@@ -128,8 +127,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			ups := []*limitedUpstream{{rate: 3, answers: tc.answers}, {rate: 2, answers: tc.answers}}
-			for i, u := range ups {
+			upstreams := []*limitedUpstream{{rate: 3, answers: tc.answers}, {rate: 2, answers: tc.answers}}
+			for i, u := range upstreams {
 				f.add(tc.service, fmt.Sprint("u", i), u.serve)
 			}
 			f.askEach(tc.path, 10*time.Millisecond, limitTold)
@@ -146,15 +145,15 @@
 					refused++
 					slowest = max(slowest, time.Since(at))
 				default:
-					t.Fatalf("status %d, %v, come back in %q", got.status, got.err, got.header.Get(testBack))
+					t.Fatalf("status %d, %v, retry time %q", got.status, got.err, got.header.Get(testBack))
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
 			t.Logf("%d served, %d refused, after %s at most", served, refused, slowest)
 			if served < 10 || refused == 0 {
-				t.Errorf("%d served and %d refused in 3 s, of 5 a second that they take", served, refused)
+				t.Errorf("%d served and %d refused in 3 s at a limit of 5 a second", served, refused)
 			}
-			for i, u := range ups {
+			for i, u := range upstreams {
 				if got := u.most(begun); got > allowed(u.rate) {
 					t.Errorf("u%d got %d in %s, want at most %d", i, got, limitWindow, allowed(u.rate))
 				}
@@ -163,8 +162,9 @@
 	}
 }
 
-// An upstream whose limit is over gets as much as the others again.
-func TestLimitIsOver(t *testing.T) {
+// TestUpstreamGetsFullShareAfterLimitEnds: once its limit has ended, an upstream gets as many
+// requests as the others.
+func TestUpstreamGetsFullShareAfterLimitEnds(t *testing.T) {
 	f := newFixture(t)
 	limited := &limitedUpstream{rate: 4}
 	f.add("app", "limited", limited.serve)
@@ -175,7 +175,7 @@
 	limited.mu.Unlock()
 	f.askEach(pathSafe, 10*time.Millisecond, time.Second)
 	if f.gateway.Limits().Any() {
-		t.Fatal("the limit is in force a second after it was over")
+		t.Fatal("the limit is in force a second after it ended")
 	}
 	before := len(limited.arrived)
 	f.askEach(pathSafe, 5*time.Millisecond, time.Second)
@@ -184,8 +184,9 @@
 	}
 }
 
-// A limit that cannot be read leaves the last one that could in force.
-func TestLimitThatCannotBeRead(t *testing.T) {
+// TestMalformedLimitKeepsPreviousLimit: a limit that cannot be parsed leaves the last valid one
+// in force.
+func TestMalformedLimitKeepsPreviousLimit(t *testing.T) {
 	f := newFixture(t)
 	var text atomic.Value
 	text.Store("0.5")
@@ -198,15 +199,16 @@
 	text.Store("many")
 	f.askEach(pathSafe, 10*time.Millisecond, 2500*time.Millisecond)
 	if !f.noted(events.LimitRejected) {
-		t.Error("a limit that cannot be read is not told")
+		t.Error("the malformed limit is not logged")
 	}
 	if got := f.gateway.Limits().Rate("a"); got != 0.5 {
-		t.Errorf("the limit is %v, want the last one that could be read", got)
+		t.Errorf("the limit is %v, want the last valid one", got)
 	}
 }
 
-// A generation whose engine ends goes on elsewhere with a permit, and its caller waits for that.
-func TestResumedGenerationHasAPermit(t *testing.T) {
+// TestResumedGenerationWaitsForAPermit: a generation whose engine crashes continues elsewhere
+// with a permit, and its caller waits for the permit.
+func TestResumedGenerationWaitsForAPermit(t *testing.T) {
 	f := newFixture(t)
 	limited := &limitedUpstream{rate: 5}
 	f.add("llm", "limited", func(w http.ResponseWriter, r *http.Request) {
@@ -214,13 +216,13 @@
 		limited.serve(w, r)
 	})
 	f.gateway.limits.Named("limited", 5)
-	// Nothing may be granted at the moment.
+	// Uses up the permits that may be granted now.
 	for f.gateway.limits.Take(t.Context(), "limited") == nil {
 	}
 	rq := &request{route: &routetable.Route{Objective: 100 * time.Millisecond}, service: &routetable.Service{Name: "llm", Engine: &routetable.Engine{}}, start: time.Now(), run: newRun()}
 	s := &stream{g: f.gateway, rq: rq}
 	if _, err := s.admit(t.Context(), nil); !errors.Is(err, errLimited) {
-		t.Errorf("a new generation got %v, want that the engines take no more", err)
+		t.Errorf("a new generation got %v, want errLimited", err)
 	}
 	u, err := s.goOnAt(t.Context(), nil)
 	if err != nil || u.ID != "limited" {
@@ -228,9 +230,10 @@
 	}
 }
 
-// A hedge is sent besides, and a retry beside it must not keep the answer of the first waiting:
-// neither goes to a limited upstream.
-func TestHedgesPassOverLimits(t *testing.T) {
+// TestHedgesSkipLimitedUpstreams: a hedge is additional load, and a retry beside a running
+// attempt must not delay that attempt's answer by waiting for a permit. Neither goes to a limited
+// upstream.
+func TestHedgesSkipLimitedUpstreams(t *testing.T) {
 	f := newFixture(t)
 	f.gateway.limits.Named("a", 1000)
 	if got := f.gateway.unlimited(map[string]bool{"b": true}); !got["a"] || !got["b"] {
@@ -238,8 +241,8 @@
 	}
 }
 
-// BenchmarkAdmit measures the choice of an engine with a permit, as each generation has it: while
-// no upstream names a limit, it costs what the choice alone did.
+// BenchmarkAdmit measures the choice of an engine with a permit, as made for each generation.
+// While no upstream states a limit, it should cost as much as BenchmarkAdmitAlone.
 func BenchmarkAdmit(b *testing.B) {
 	for _, tc := range []struct {
 		name    string
@@ -265,24 +268,24 @@
 	}
 }
 
-// TestWhatEndsALimit covers which answers without a limit end one: not those of another request,
-// nor failures, nor those that break off.
-func TestWhatEndsALimit(t *testing.T) {
+// TestAnswersThatEndALimit covers which answers without a limit end a limit: not answers to other
+// requests, errors, or broken answers.
+func TestAnswersThatEndALimit(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		serve http.HandlerFunc
 		over  bool
 	}{
-		{"a whole answer", serveOK, true},
-		{"a failure", serveError, false},
+		{"a complete answer", serveOK, true},
+		{"an error", serveError, false},
 		{"a refusal", serveNotRun, false},
-		{"one without proof", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }, false},
-		{"one that breaks off", func(w http.ResponseWriter, _ *http.Request) {
+		{"an answer without proof", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }, false},
+		{"an answer that breaks off", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(testProof, "p")
 			w.Header().Set("Content-Length", "1000")
 			_, _ = w.Write([]byte("ok"))
 		}, false},
-		{"one of another request", func(w http.ResponseWriter, r *http.Request) {
+		{"an answer to another request", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(testID, "another")
 			serveOK(w, r)
 		}, false},
@@ -294,14 +297,15 @@
 			time.Sleep(100 * time.Millisecond)
 			f.ask(pathOnce)
 			if over := !f.gateway.limits.Any(); over != tc.over {
-				t.Errorf("the limit is over: %v, want %v", over, tc.over)
+				t.Errorf("the limit has ended: %v, want %v", over, tc.over)
 			}
 		})
 	}
 }
 
-// A limit that an answer of another request names is no word of the upstream on itself.
-func TestLimitInAnotherAnswer(t *testing.T) {
+// TestLimitInAnswerToAnotherRequestIsIgnored: a limit in an answer to another request does not
+// apply to the upstream that was asked.
+func TestLimitInAnswerToAnotherRequestIsIgnored(t *testing.T) {
 	f := newFixture(t)
 	f.add("app", "a", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testID, "another")
@@ -314,8 +318,8 @@
 	}
 }
 
-// A generation goes on at the copy of its memory only with a permit: what is moved counts like any
-// request.
+// TestMovedGenerationNeedsAPermit: a generation continues at the copy of its memory only with a
+// permit, since a moved generation counts like any other request.
 func TestMovedGenerationNeedsAPermit(t *testing.T) {
 	f := newFixture(t)
 	f.add("llm", "e", serveOK)
@@ -324,12 +328,13 @@
 	rq := &request{route: &routetable.Route{}, service: &routetable.Service{Name: "llm"}, run: newRun(), start: time.Now()}
 	s := &stream{g: f.gateway, rq: rq, copies: []heldCopy{{at: at}}}
 	if st, ok := s.afterBreak(t.Context(), nil); ok || s.stuck != errLimited.Error() {
-		t.Errorf("it goes on at %q (%v), stuck because %q; want that the engine takes no more", st.at.ID, ok, s.stuck)
+		t.Errorf("the generation continues at %q (%v), reason %q; want errLimited", st.at.ID, ok, s.stuck)
 	}
 }
 
-// A generation that has to move goes to an engine without a limit.
-func TestMovesPassOverLimits(t *testing.T) {
+// TestMovesPreferUnlimitedEngines: a generation that has to move goes to an engine without a
+// limit.
+func TestMovesPreferUnlimitedEngines(t *testing.T) {
 	f := newFixture(t)
 	f.addEngine("limited")
 	f.addEngine("free")
@@ -342,8 +347,9 @@
 	}
 }
 
-// An entry that stops leaves it to another one to grant permits.
-func TestStoppingEntryLeavesGranting(t *testing.T) {
+// TestStoppingEntryHandsOverGrantingPermits: an entry that stops leaves granting permits to
+// another entry.
+func TestStoppingEntryHandsOverGrantingPermits(t *testing.T) {
 	f := newFixture(t)
 	var sent []string
 	others := limits.Alone()
@@ -356,17 +362,17 @@
 		start := fmt.Sprint("u", i)
 		f.gateway.limits.Named(start, 1)
 		if err := f.gateway.limits.Take(t.Context(), start); !errors.Is(err, limits.ErrNoAnswer) {
-			t.Errorf("%s: %v, want that b is asked", start, err)
+			t.Errorf("%s: %v, want ErrNoAnswer after asking b", start, err)
 		}
 	}
 	if len(sent) == 0 {
-		t.Error("b is not asked")
+		t.Error("b was not asked for permits")
 	}
 }
 
-// An upstream that refused a request and said when to come back got the next one 150 ms later all
-// the same.
-func TestUpstreamThatSaysWhenToComeBack(t *testing.T) {
+// TestRetryTimeOfUpstreamIsObeyed guards against sending requests to an upstream before the retry
+// time that it stated in a refusal. Such an upstream got the next request after 150 ms.
+func TestRetryTimeOfUpstreamIsObeyed(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			t.Parallel()
@@ -388,7 +394,7 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			if n := full.runs(); n != 1 {
-				t.Errorf("it got %d requests, want none before its time", n)
+				t.Errorf("the upstream got %d requests, want none before its retry time", n)
 			}
 		})
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -14,39 +14,42 @@
 	// sent is when the request was sent.
 	sent   time.Time
 	header http.Header
-	// whole tells that the upstream ran the request and that its answer is no failure: one
-	// that breaks off or fails without naming a limit does not say that there is none.
+	// whole says that the upstream ran the request and that its answer is not an error. Only
+	// then does an answer without a limit mean that there is none: an error or a broken answer
+	// may lack the limit for other reasons.
 	whole bool
 }
 
-// heardLimit takes over what an answer says of its upstream's limit.
-func (g *Gateway) heardLimit(rq *request, at fleet.Upstream, h head) {
+// heardLimit records what an answer says about its upstream's rate limit. Answers that carry the
+// ID of another request are ignored.
+func (g *Gateway) heardLimit(rq *request, upstream fleet.Upstream, h head) {
 	if h.header.Get(g.proto.IDHeader) != rq.call.ID {
 		return
 	}
-	if !g.heardLimitNamed(rq.call.ID, at, h.header) && h.whole {
-		g.limits.Unnamed(at.ID, h.sent)
+	if !g.heardLimitNamed(rq.call.ID, upstream, h.header) && h.whole {
+		g.limits.Unnamed(upstream.ID, h.sent)
 	}
 }
 
-// heardLimitNamed takes over the limit that an answer names, to a request of a caller or, with an
-// empty call, to a question or order of this entry. It returns false if the answer names none.
-func (g *Gateway) heardLimitNamed(call string, at fleet.Upstream, header http.Header) bool {
+// heardLimitNamed records the limit that an answer names. requestID is that of a caller's
+// request, and empty for queries and orders of this entry. It returns false if the answer names
+// no limit.
+func (g *Gateway) heardLimitNamed(requestID string, upstream fleet.Upstream, header http.Header) bool {
 	limit, err := g.proto.Limit(header)
 	switch {
 	case err != nil:
-		g.rec.Note(events.LimitRejected, call, "upstream", at.ID, "error", err)
+		g.rec.Note(events.LimitRejected, requestID, "upstream", upstream.ID, "error", err)
 		return true
 	case limit.Named:
-		g.limits.Named(at.ID, limit.Rate)
+		g.limits.Named(upstream.ID, limit.Rate)
 		return true
 	default:
 		return false
 	}
 }
 
-// Limits returns what this entry knows of limited upstreams.
+// Limits returns the rate limits of upstreams.
 func (g *Gateway) Limits() *limits.Set { return g.limits }
 
-// SweepLimits forgets the limits of upstreams that are gone.
+// SweepLimits drops the limits of upstreams that are gone.
 func (g *Gateway) SweepLimits() { g.limits.Sweep(g.there) }
--- a/internal/gateway/longfailure_test.go
+++ b/internal/gateway/longfailure_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// An engine's failure that is longer than is held back was passed on cut, with the engine's proof
-// and a length of its own, as if it were whole.
-func TestFailureThatIsTooLong(t *testing.T) {
+// TestErrorAnswerAboveBufferLimitIsNotForwarded guards against an engine's error answer that is
+// longer than maxBuffered and passed on truncated, with the engine's proof and a new length, as
+// if it were complete.
+func TestErrorAnswerAboveBufferLimitIsNotForwarded(t *testing.T) {
 	f := newFixture(t)
 	const size = maxBuffered + 1
 	f.add("llm", "e", func(w http.ResponseWriter, r *http.Request) {
@@ -18,6 +19,6 @@
 	})
 	got := f.ask(pathStream)
 	if got.status == http.StatusInternalServerError || len(got.body) >= maxBuffered {
-		t.Errorf("status %d with %d bytes of a failure of %d", got.status, len(got.body), size)
+		t.Errorf("status %d with %d bytes of an error answer of %d", got.status, len(got.body), size)
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -23,32 +23,31 @@
 	gap      prometheus.Histogram
 }
 
-// The causes for which a request ends without a whole answer.
+// Values of the cause label for requests that end without a complete answer.
 const (
-	// unansweredLeft: the caller, or the network, ended the connection.
+	// unansweredLeft: the caller or the network closed the connection.
 	unansweredLeft = "caller left"
-	// unansweredEnded: this process ended the connection.
+	// unansweredEnded: this process closed the connection.
 	unansweredEnded = "connection ended here"
-	// unansweredPanic: a fault of this program.
+	// unansweredPanic: the handler panicked.
 	unansweredPanic = "panic"
 )
 
-// newMetrics registers the metrics; age returns the age of the route table in
-// seconds.
+// newMetrics registers the metrics; age returns the age of the route table in seconds.
 func newMetrics(reg prometheus.Registerer, age func() float64) *metrics {
 	m := &metrics{
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_refusals_total", Help: "Final answers of the system's own, by status."}, []string{"status"}),
-		answers:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_answers_total", Help: "Requests by how they ended."}, []string{"end"}),
+		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_refusals_total", Help: "Requests that the gateway answered itself instead of an upstream, by status."}, []string{"status"}),
+		answers:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_answers_total", Help: "Finished requests, by result."}, []string{"end"}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_attempts_total", Help: "Requests sent to upstreams, by reason."}, []string{"reason"}),
 		moves:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_moves_total", Help: "Moves of running generations, by result."}, []string{"result"}),
-		without:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_unanswered_total", Help: "Requests whose connection ended without a whole answer, by cause."}, []string{"cause"}),
-		permits:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_permits_total", Help: "Permits asked for to send requests to upstreams that named a limit, by result."}, []string{"result"}),
-		held:     prometheus.NewCounter(prometheus.CounterOpts{Name: "sparshore_gateway_held_total", Help: "Requests refused because upstreams ended while they ran them."}),
-		answer:   prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_answer_seconds", Help: "Time to the whole answer of a plain call.", Buckets: prometheus.ExponentialBuckets(0.004, 2, 12)}),
+		without:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_unanswered_total", Help: "Requests whose connection ended without a complete answer, by cause."}, []string{"cause"}),
+		permits:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_permits_total", Help: "Permits requested for sending to rate-limited upstreams, by result."}, []string{"result"}),
+		held:     prometheus.NewCounter(prometheus.CounterOpts{Name: "sparshore_gateway_held_total", Help: "Requests refused because upstreams crashed while running them."}),
+		answer:   prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_answer_seconds", Help: "Time to the complete answer of a plain call.", Buckets: prometheus.ExponentialBuckets(0.004, 2, 12)}),
 		first:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_first_event_seconds", Help: "Time to a stream's first event.", Buckets: prometheus.ExponentialBuckets(0.02, 2, 12)}),
 		gap:      prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_move_gap_seconds", Help: "Pause of a stream while its generation moved.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)}),
 	}
-	routes := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "sparshore_gateway_routes_age_seconds", Help: "Time since the route table was last confirmed to be the newest."}, age)
+	routes := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "sparshore_gateway_routes_age_seconds", Help: "Time since the route table was last confirmed to be current."}, age)
 	reg.MustRegister(routes, m.refusals, m.answers, m.attempts, m.moves, m.without, m.permits, m.held, m.answer, m.first, m.gap)
 	return m
 }
@@ -63,14 +62,14 @@
 func (m *metrics) began(d time.Duration)    { m.first.Observe(d.Seconds()) }
 func (m *metrics) paused(d time.Duration)   { m.gap.Observe(d.Seconds()) }
 
-// limitRates tells the limits in force, by upstream.
+// limitRates exports the rate limits in force by upstream.
 type limitRates struct {
 	list func() []limits.State
 	desc *prometheus.Desc
 }
 
 func newLimitRates(list func() []limits.State) *limitRates {
-	return &limitRates{list: list, desc: prometheus.NewDesc("sparshore_gateway_upstream_limit", "Requests a second that an upstream takes from all entries together, while it names a limit.", []string{"upstream"}, nil)}
+	return &limitRates{list: list, desc: prometheus.NewDesc("sparshore_gateway_upstream_limit", "Requests per second that an upstream accepts from all entries together, while it states a limit.", []string{"upstream"}, nil)}
 }
 
 // Describe implements prometheus.Collector.
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -30,8 +30,8 @@
 gateway=internal/gateway
 placement=internal/placement
 mutant gateway-once $gateway/call.go 's/if r\.mayHaveRun\(\) && \(!c\.rq\.route\.Repeats\(\) \|\| /if r.mayHaveRun() \&\& (/' $gateway TestPlainCall
-mutant gateway-keys $gateway/request.go 's/if !trusted && \(!ok \|\| g\.settings\.HardKeyBound\)/if !trusted \&\& !ok/' $gateway TestWhoMayAsk
-mutant gateway-unknown-keys $gateway/request.go 's/if !trusted && \(!ok \|\| g\.settings\.HardKeyBound\)/if !trusted \&\& g.settings.HardKeyBound/' $gateway TestWhoMayAsk
+mutant gateway-keys $gateway/request.go 's/if !trusted && \(!ok \|\| g\.settings\.HardKeyBound\)/if !trusted \&\& !ok/' $gateway TestKeyCheckByAgeOfRouteTable
+mutant gateway-unknown-keys $gateway/request.go 's/if !trusted && \(!ok \|\| g\.settings\.HardKeyBound\)/if !trusted \&\& g.settings.HardKeyBound/' $gateway TestKeyCheckByAgeOfRouteTable
 mutant relay-silent-store internal/relay/store.go 's/deadline\.Sub\(s\.now\(\)\)\/2/deadline.Sub(s.now())/' internal/relay TestEntryThatStartsWhileTheStoreIsSilent
 mutant gateway-torn $gateway/eventreader.go 's/if n := wholeEvents\(e\.buf\[e\.start:e\.end\]\); n > 0/if n := e.end - e.start; n > 0/' $gateway TestBrokenStream
 mutant gateway-whole $gateway/relay.go 's/if errors\.Is\(err, io\.EOF\) && answer\.Framed && len\(rest\) == 0 && s\.began \{/if _ = errors.Is(err, io.EOF); s.began {/' $gateway TestBrokenStream
@@ -42,7 +42,7 @@
 mutant placement-room $placement/room.go 's/return ErrMemory/return nil/' internal/placement TestRoom
 mutant placement-kept-room $placement/room.go 's/usable = float64\(e\.MemoryTokens\)/_ = e.Slots/' internal/placement TestRoom
 mutant placement-waiting-prompts $placement/room.go 's/return ErrPrompts/return nil/' internal/placement TestRoom
-mutant gateway-silent-load $gateway/gateway.go 's/g\.ledger\.keepPeers\(func/_ = peers\n\t_ = (func/' $gateway TestLoadOfSilentEntries
+mutant gateway-silent-load $gateway/gateway.go 's/g\.ledger\.keepPeers\(func/_ = peers\n\t_ = (func/' $gateway TestLoadOfUnreachableEntries
 mutant gateway-stop-longest $gateway/request.go 's/g\.pace\.rest\(rq\.call\.MaxOutput,/g.pace.rest(rq.call.Hint,/' $gateway TestStoppingGatewayDoubtsTheHint
 mutant gateway-back-after-stop $gateway/stop.go 's/case s\.far:/case false:/' $gateway TestBackAfterStop
 mutant gateway-stop-answers $gateway/stop.go 's/\ttime\.AfterFunc\(end\.Add\(-AnswerSpare\)[^\n]*\n//' $gateway TestStopAnswersWhatIsInFlight
@@ -57,11 +57,11 @@
 mutant connection-last-answer $connlimit/answerwriter.go 's/if a\.limiter\.stops\(\) \{/if false {/' $connlimit TestDrain
 mutant connection-accepting $connlimit/connlimit.go 's/\t\t\t<-listener\.ended\n/\t\t\t_ = listener.ended\n/' $connlimit TestDrainWaits
 mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestStopThatIsLate
-mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerThatIsThere|TestUpstreamsFailureGoes'
+mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerReadyAtDeadline|TestUpstreamErrorIsPreferred'
 mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestFaultOfThisProgram
 mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsComeBack
 mutant placement-overload-age $placement/overload.go 's/min\(ageOfShare\*share, 1\)/0*share/' internal/placement TestOverloadTells
-mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestWhoIsBlamed
+mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestFailureIsAttributed
 mutant gateway-copy-outlasts $gateway/move.go 's/context\.WithTimeout\(context\.Background\(\), copyWithin\)/context.WithTimeout(s.rq.caller, copyWithin)/' $gateway TestCopyThatOutlasts
 mutant gateway-brief-stay $gateway/move.go 's/ && !s\.endsWithin\(copyTakes\)//' $gateway TestMovable
 mutant gateway-told-reading $gateway/attempt.go 's/state\.Unbegun == 0/state.Unbegun >= 0/' $gateway TestEngineThatStaysSilent
@@ -77,7 +77,7 @@
 mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfAnEarlierLife
 mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestWhenTheDelegate
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.firstHand && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
-mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRoutesOnlyGoUp
+mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRouteTableVersionNeverDecreases
 
 mutant placement-old-news $placement/spread.go 's/unheardMargin \* z\.rate/0 * z.rate/' $gateway TestOldNews
 mutant relay-hold-end internal/relay/server.go 's/\t\t\tover = true/\t\t\treturn l.encode(a, asked), nil/' internal/relay TestAnswerTellsTheLatest
@@ -180,11 +180,11 @@
 mutant held-later-crossed $held/laterstart.go 's/sentAt\.Add\(-backLeast\)/sentAt.Add(backLeast)/' $held TestRequestThatCrossedAnEnd
 mutant held-explained-by-one $held/set.go 's/if s\.explains\(u\) \{\n\t\treturn u\.unsettled\(\)\n\t\}/if len(s.explained.unexplained(u)) == 0 {\n\t\treturn u.unsettled()\n\t}/' $held TestExplainedByTwo
 mutant held-turn $held/turn.go 's/return slices\.Index\(names, s\.name\)%groups == int\(since\/turnLasts\)%groups/return groups > 0/' $held TestTurns
-mutant held-apart $gateway/crashing.go 's/if rq\.run\.Isolation\(\) != quarantine\.Apart \{/if true {/' $gateway TestSuspectsRunApart
-mutant held-most-there $gateway/crashing.go 's/if !quarantine\.MostThere\(there, len\(list\)\) \{/if there < 0 {/' $gateway TestSuspectsRunApart
+mutant held-apart $gateway/crashing.go 's/if rq\.run\.Isolation\(\) != quarantine\.Apart \{/if true {/' $gateway TestSuspectsAreIsolated
+mutant held-most-there $gateway/crashing.go 's/if !quarantine\.MostThere\(available, len\(list\)\) \{/if available < 0 {/' $gateway TestSuspectsAreIsolated
 mutant held-trials-told $held/word.go 's/\t\t\tw\.At = upstream\n/\t\t\t_ = upstream\n/' $held TestTrialsAreTold
 mutant held-runs-told $held/word.go 's/u\.ran\(start, w\.kind\(start\)\)/u.ran(start, unknownRun)/' $held TestTrialsAreTold
-mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsRunApart
+mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsAreIsolated
 mutant held-entry-apart internal/entry/crashing.go 's/case isolation != quarantine\.Apart:/case true:/' internal/entry TestIsolate
 mutant held-entry-down internal/sidecar/starts.go 's/crossed := !s\.down \|\| !s\.downAt\.Before\(sentAt\)/crossed := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
 mutant held-void-told $held/word.go 's/\t\t\tw\.Void = append\(w\.Void, start\)\n//' $held 'TestClearedElsewhere|TestOperatorsListAndLift'
@@ -198,12 +198,12 @@
 mutant held-replaced $held/set.go 's/case replaced\(b\.name\):/case false:/' $held TestBreaksThatAreNoEnds
 mutant held-account $held/fingerprint.go 's/\{method, host, target, account\}/{method, host, target}/' $held TestFingerprintOf
 mutant held-parts $held/fingerprint.go 's/\t\t_, _ = h\.Write\(size\[:\]\)\n//' $held TestFingerprintOf
-mutant held-ended $gateway/crashing.go 's/\t\tg\.quarantine\.Ended\(at\.ID\)\n//' $gateway TestWhoIsSuspected
-mutant held-leaving $gateway/crashing.go 's/known && u\.State\(\) == fleet\.Leaving/known \&\& u.State() < 0/' $gateway TestWhoIsSuspected
-mutant held-lost-answer $gateway/crashing.go 's/g\.quarantine\.Lives\(at\.ID\)/g.quarantine.Ended(at.ID)/' $gateway TestWhoIsSuspected
+mutant held-ended $gateway/crashing.go 's/\t\tg\.quarantine\.Ended\(upstream\.ID\)\n//' $gateway TestOnlyCrashesMakeASuspect
+mutant held-leaving $gateway/crashing.go 's/known && u\.State\(\) == fleet\.Leaving/known \&\& u.State() < 0/' $gateway TestOnlyCrashesMakeASuspect
+mutant held-lost-answer $gateway/crashing.go 's/g\.quarantine\.Lives\(upstream\.ID\)/g.quarantine.Ended(upstream.ID)/' $gateway TestOnlyCrashesMakeASuspect
 mutant held-hedge $gateway/call.go 's/ \|\| c\.rq\.run\.Suspected\(\) \{/ {/' $gateway TestSuspectIsNotHedged
-mutant held-call $gateway/call.go 's/\t\tg\.broke\(rq, u, r\.err\)\n//' $gateway TestRequestThatCrashesUpstreams
-mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.broke\(s\.rq, st\.at, err\)\n//' $gateway TestRequestThatCrashesUpstreams
+mutant held-call $gateway/call.go 's/\t\tg\.broke\(rq, u, r\.err\)\n//' $gateway TestPoisonRequestIsQuarantined
+mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.broke\(s\.rq, st\.at, err\)\n//' $gateway TestPoisonRequestIsQuarantined
 mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Hear\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
 mutant held-untold internal/gossip/message.go 's/Suspects: quarantine\.Encode\(s\.Suspects/Suspects: quarantine.Encode(s.Suspects[:0]/' platform/soak TestCrashingRequest
 mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedOver
@@ -256,15 +256,15 @@
 mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= silence//; s/silence, now := n\.silence\(\), n\.now\(\)/_ = n.silence()/' internal/gossip TestHeard
 mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestWhoMayGrant
 mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestWhenLimitsWereTold
-mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestUpstreamGetsWhatItTakes
+mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestRateLimitOfUpstreamIsObeyed
 mutant limits-copy $gateway/continue.go 's/if err := s\.g\.await\(ctx, held\.at\.ID, s\.g\.now\(\)\.Add\(goOnWithin\)\); err != nil/if err := ctx.Err(); err != nil/' $gateway TestMovedGenerationNeedsAPermit
-mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.unlimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPassOverLimits
-mutant limits-other-answer $gateway/limits.go 's/if h\.header\.Get\(g\.proto\.IDHeader\) != rq\.call\.ID \{/if h.header == nil {/' $gateway 'TestLimitInAnotherAnswer|TestWhatEndsALimit'
-mutant limits-failure $gateway/limits.go 's/ && h\.whole \{/ {/' $gateway TestWhatEndsALimit
-mutant limits-stop $gateway/stop.go 's/\tg\.limits\.Leave\(\)\n//' $gateway TestStoppingEntryLeavesGranting
-mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationHasAPermit
+mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.unlimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPreferUnlimitedEngines
+mutant limits-other-answer $gateway/limits.go 's/if h\.header\.Get\(g\.proto\.IDHeader\) != rq\.call\.ID \{/if h.header == nil {/' $gateway 'TestLimitInAnswerToAnotherRequest|TestAnswersThatEndALimit'
+mutant limits-failure $gateway/limits.go 's/ && h\.whole \{/ {/' $gateway TestAnswersThatEndALimit
+mutant limits-stop $gateway/stop.go 's/\tg\.limits\.Leave\(\)\n//' $gateway TestStoppingEntryHandsOverGranting
+mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationWaitsForAPermit
 mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitInHeaders
-mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestUpstreamThatSaysWhenToComeBack
+mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestRetryTimeOfUpstreamIsObeyed
 mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.take\(ctx\); !ok \{/if opensAt, ok := s.takes.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsWhatItTakes
 mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.await\(ctx, s\.permitBy\(p\)\); !ok \{/if opensAt, ok := s.permitBy(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
 mutant limits-sidecar-queued internal/sidecar/server.go 's/if opensAt, ok := s\.takes\.take\(context\.Background\(\)\); !ok \{/if opensAt, ok := s.takes.opensAt(), true; !ok {/' internal/sidecar TestQueuedGenerationNeedsAPermit
