--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,11 +1,13 @@
-// Package limits holds what limited upstreams say that they take, so many requests a second
-// from all entries together, and shares it among the entries: each asks for a permit before it
-// sends a request to such an upstream.
+// Package limits keeps the rates of requests that upstreams advertise, each for all entries
+// together. Before the gateway or a sidecar sends a request to a limited upstream, it takes a
+// permit from the Set of its entry. Together, the permits keep to the limit, apart from short bursts
+// and the time in which the entries do not agree on who grants permits.
 //
-// For each start of an upstream one entry grants the permits, the one with the highest hash
-// over those that hear each other. Parts for each entry would be too small where a few requests
-// a second are shared by hundreds, or too many where each may send one at any moment. Nothing
-// is asked or told while no upstream names a limit.
+// For each start of an upstream, one entry grants the permits from a token bucket: the granter,
+// which has the highest rendezvous hash among the entries that hear each other. Fixed shares for
+// each entry do not work if hundreds of entries share a few requests a second: a share is too small
+// to use, or the total is too large if each entry may send a request at any moment. No messages are
+// sent while no upstream advertises a limit.
 package limits
 
 import (
@@ -21,267 +23,269 @@
 	"github.com/sparshore/sparshore/internal/events"
 )
 
-// Others are the other entries of the deployment. The functions are called with the Set locked
-// and must not call it.
+// Others connects a Set to the other entries of the deployment. The functions are called with the
+// Set locked and must not call it.
 type Others struct {
-	// Heard returns those that are heard, also lately.
+	// Heard returns the entries that are heard or fell silent only recently.
 	Heard func() []Entry
-	// Send sends a message to an entry. It may be lost.
+	// Send sends a message to an entry. The message may be lost.
 	Send func(to string, m Message)
-	// Urge asks for a round of messages to all others at once.
+	// Urge requests an immediate round of messages to all other entries.
 	Urge func()
-	// Told is the time within which all know what they were urged to hear.
+	// Told returns the time within which a round requested with Urge reaches all entries.
 	Told func() time.Duration
-	// Way is the usual time of a message there and back.
+	// Way returns the usual round-trip time of a message.
 	Way func() time.Duration
 }
 
-// Set holds the limits that are in force, by start of an upstream. It is safe for concurrent
-// use.
+// Set holds the limits in force, by upstream start, and grants permits or asks the granter for
+// them. It is safe for concurrent use.
 type Set struct {
-	// name is the entry's own, and life tells its starts apart.
+	// name is the name of this entry, and life identifies its current start.
 	name   string
 	life   string
 	others Others
 	rec    *events.Recorder
 	now    func() time.Time
-	// inForce counts the limits in force. While there is none, nothing else is looked at.
-	inForce atomic.Int64
+	// inForceCount is the number of limits in force. While it is 0, permits need no lock.
+	inForceCount atomic.Int64
 
 	mu     sync.Mutex
 	limits map[string]*limit
-	// full is set while more upstreams name limits than are remembered.
+	// full is set while more upstreams advertise limits than maxLimits.
 	full bool
-	// peers are the other entries that told of limits.
+	// peers holds the entries that sent messages about limits, by name.
 	peers map[string]*peer
-	// listed is the number of entries in the list of entries; 0 while that is not known.
-	listed int
-	// leaves is set once this entry stops: another one is to grant.
-	leaves bool
-	// newsUntil is until when all others are told.
-	newsUntil time.Time
-	// lastID is the identifier of the latest question, and asked are those under way.
-	lastID uint64
-	asked  map[uint64]chan Answer
-	// answered are the latest answers: a question may come twice.
-	answered map[questionKey]answered
+	// entryCount is the number of entries in the list of entries; 0 while it is unknown.
+	entryCount int
+	// stopping is set when this entry is about to stop and another one is to grant.
+	stopping bool
+	// announceUntil is the time until which each round goes to all entries.
+	announceUntil time.Time
+	// lastQuestionID is the ID of the latest question, and pending holds the unanswered ones.
+	lastQuestionID uint64
+	pending        map[uint64]chan Answer
+	// answerCache holds the latest answers, since a question may arrive twice.
+	answerCache map[questionKey]cachedAnswer
 }
 
-// mostLimits bounds the upstreams whose limits are remembered.
-const mostLimits = 4096
+// maxLimits bounds the upstream starts whose limits are kept.
+const maxLimits = 4096
 
-// limit is what is known of the limit of one start of an upstream.
+// limit is what is known about the limit of one upstream start.
 type limit struct {
-	// rate is what it takes, in requests a second.
+	// rate is the limit in requests a second.
 	rate float64
-	// namedAt is when it is last known to have named a limit, and overAt when it is last
-	// known to have none. Both err on the side of the limit: an answer came after it was
-	// made, and was made after it was asked for.
-	namedAt time.Time
-	overAt  time.Time
-	// own is what this entry read itself. Only that is told to others: what is heard looks
-	// younger each time it is passed on.
-	own Word
+	// advertisedAt is when the upstream is last known to have advertised a limit, and noLimitAt
+	// when it is last known to have had none. Both err towards the limit: the former is when an
+	// answer arrived, after it was made, and the latter when its request was sent, before it was
+	// made.
+	advertisedAt time.Time
+	noLimitAt    time.Time
+	// observed is what this entry read in answers itself. Only this is sent to others, since an
+	// observation appears more recent each time it is passed on.
+	observed Observation
 	// since is when the limit came into force.
 	since time.Time
-	// closedUntil is when a permit is to be had again.
+	// closedUntil is when the next permit may be available.
 	closedUntil time.Time
-	// reached counts the refusals since reachedNoted, when one was last noted.
-	reached      int
-	reachedNoted time.Time
+	// deniedCount counts the denials since deniedLoggedAt, when one was last logged.
+	deniedCount    int
+	deniedLoggedAt time.Time
 
-	// granter is the entry that grants permits, as of the latest look.
+	// granter is the entry that grants permits, as of the latest lookup.
 	granter string
-	// bucket holds what this entry may grant, from grantsFrom on, while it is the granter.
+	// bucket holds the permits that this entry may grant from grantsFrom on, while it is the
+	// granter.
 	bucket     *rate.Limiter
 	grantsFrom time.Time
 }
 
-// holds reports whether the limit is in force.
-func (l *limit) holds() bool { return !l.namedAt.IsZero() && !l.overAt.After(l.namedAt) }
+// inForce reports whether the upstream is last known to have a limit.
+func (l *limit) inForce() bool { return !l.advertisedAt.IsZero() && !l.noLimitAt.After(l.advertisedAt) }
 
-// New returns a Set for a life of an entry, in which no upstream has a limit.
+// New returns a Set without limits for one start of an entry, which life identifies.
 func New(name, life string, others Others, rec *events.Recorder, now func() time.Time) *Set {
 	return &Set{
 		name: name, life: life, peers: map[string]*peer{}, others: others, rec: rec, now: now, limits: map[string]*limit{},
-		// A question of an earlier start of this entry must not be taken for one of this.
-		lastID: rand.Uint64(), asked: map[uint64]chan Answer{}, answered: map[questionKey]answered{},
+		// A question of an earlier start of this entry must not be taken for one of this start.
+		lastQuestionID: rand.Uint64(), pending: map[uint64]chan Answer{}, answerCache: map[questionKey]cachedAnswer{},
 	}
 }
 
 // Any reports whether any limit is in force.
-func (s *Set) Any() bool { return s.inForce.Load() > 0 }
+func (s *Set) Any() bool { return s.inForceCount.Load() > 0 }
 
-// Listed sets how many entries the list of entries holds.
+// Listed sets the number of entries in the list of entries.
 func (s *Set) Listed(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listed = n
+	s.entryCount = n
 }
 
-// Leave makes another entry grant permits, if there is one: this one stops.
+// Leave makes another entry grant permits, if there is one, because this entry stops.
 func (s *Set) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaves = true
+	s.stopping = true
 }
 
-// NoLimit is the rate of an upstream that has no limit.
+// NoLimit is the rate of an upstream without a limit.
 const NoLimit = -1.0
 
-// Rate returns what an upstream takes, in requests a second; NoLimit if it names no limit.
+// Rate returns the limit of an upstream start in requests a second, or NoLimit.
 func (s *Set) Rate(start string) float64 {
 	if !s.Any() {
 		return NoLimit
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.inForceOf(start); l != nil {
+	if l := s.limitInForce(start); l != nil {
 		return l.rate
 	}
 	return NoLimit
 }
 
-// inForceOf returns the limit of a start, nil if none is in force. It needs the lock.
-func (s *Set) inForceOf(start string) *limit {
-	if l, ok := s.limits[start]; ok && l.holds() {
+// limitInForce returns the limit of a start, or nil if none is in force. The caller must hold s.mu.
+func (s *Set) limitInForce(start string) *limit {
+	if l, ok := s.limits[start]; ok && l.inForce() {
 		return l
 	}
 	return nil
 }
 
-// State is a limit in force.
+// State describes a limit in force.
 type State struct {
-	// Upstream is the start of the upstream, and Rate what it takes in requests a second.
+	// Upstream is the start of the upstream, and Rate its limit in requests a second.
 	Upstream string
 	Rate     float64
-	// Since is when this entry first knew of it, and Named when it is last known to have
-	// been named.
+	// Since is when this entry learned of the limit, and Named when the upstream is last known to
+	// have advertised it.
 	Since time.Time
 	Named time.Time
-	// Granter is the entry that grants permits, as of the latest request; empty while
-	// there was none.
+	// Granter is the entry that grants permits, as of the latest request; empty if there was none
+	// yet.
 	Granter string
 }
 
-// List returns the limits in force, in order of the upstreams.
+// List returns the limits in force, sorted by upstream.
 func (s *Set) List() []State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []State
 	for start, l := range s.limits {
-		if l.holds() {
-			out = append(out, State{Upstream: start, Rate: l.rate, Since: l.since, Named: l.namedAt, Granter: l.granter})
+		if l.inForce() {
+			out = append(out, State{Upstream: start, Rate: l.rate, Since: l.since, Named: l.advertisedAt, Granter: l.granter})
 		}
 	}
 	slices.SortFunc(out, func(a, b State) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return out
 }
 
-// Named notes that an answer of a start of an upstream names a limit, in requests a second.
+// Named records that an answer of an upstream start advertised a limit in requests a second.
 func (s *Set) Named(start string, perSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if l := s.named(start, perSecond, now, ownAnswer); l != nil {
-		l.own.Rate, l.own.Named = perSecond, now
+	if l := s.noteAdvertised(start, perSecond, now, ownAnswer); l != nil {
+		l.observed.Rate, l.observed.AdvertisedAt = perSecond, now
 	}
 }
 
-// ownAnswer is the source of what this entry read in an answer itself.
+// ownAnswer is the logged source of limits that this entry read in an answer itself.
 const ownAnswer = "own answer"
 
-// Unnamed notes that a whole answer of a start of an upstream names no limit; asked is when
-// its request was sent.
-func (s *Set) Unnamed(start string, asked time.Time) {
+// Unnamed records that a complete answer of an upstream start advertised no limit; sent is when its
+// request was sent.
+func (s *Set) Unnamed(start string, sent time.Time) {
 	if !s.Any() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.over(start, asked, ownAnswer); l != nil {
-		l.own.Over = asked
+	if l := s.noteNoLimit(start, sent, ownAnswer); l != nil {
+		l.observed.NoLimitAt = sent
 	}
 }
 
-// named takes over that a limit was named at a time; nil if that is no news or cannot be
-// remembered. It needs the lock.
-func (s *Set) named(start string, perSecond float64, at time.Time, source string) *limit {
+// noteAdvertised records that a limit was advertised at the given time. It returns nil if a later
+// time is known or there is no room for the limit. The caller must hold s.mu.
+func (s *Set) noteAdvertised(start string, perSecond float64, at time.Time, source string) *limit {
 	l, ok := s.limits[start]
 	if !ok {
-		if !s.room() {
+		if !s.hasRoom() {
 			return nil
 		}
 		l = &limit{}
 		s.limits[start] = l
 	}
-	if !at.After(l.namedAt) {
+	if !at.After(l.advertisedAt) {
 		return nil
 	}
-	held, before := l.holds(), l.rate
-	l.namedAt, l.rate = at, perSecond
-	if !l.holds() || held && before == perSecond {
+	wasInForce, previous := l.inForce(), l.rate
+	l.advertisedAt, l.rate = at, perSecond
+	if !l.inForce() || wasInForce && previous == perSecond {
 		return l
 	}
-	if !held {
+	if !wasInForce {
 		l.since, l.closedUntil, l.granter, l.bucket = s.now(), time.Time{}, "", nil
-		s.inForce.Add(1)
-		before = NoLimit
+		s.inForceCount.Add(1)
+		previous = NoLimit
 	}
-	s.rec.Note(events.LimitNamed, "", "upstream", start, "rate", perSecond, "before", before, "age", s.now().Sub(at), "source", source)
-	s.news()
+	s.rec.Note(events.LimitNamed, "", "upstream", start, "rate", perSecond, "before", previous, "age", s.now().Sub(at), "source", source)
+	s.announce()
 	return l
 }
 
-// room reports whether one more upstream can be remembered. It needs the lock.
-func (s *Set) room() bool {
-	full := len(s.limits) >= mostLimits
+// hasRoom reports whether another limit can be kept. The caller must hold s.mu.
+func (s *Set) hasRoom() bool {
+	full := len(s.limits) >= maxLimits
 	if full && !s.full {
-		s.rec.Note(events.LimitRejected, "", "why", "too many upstreams name limits", "most", mostLimits)
+		s.rec.Note(events.LimitRejected, "", "why", "too many upstreams name limits", "most", maxLimits)
 	}
 	s.full = full
 	return !full
 }
 
-// over takes over that a start had no limit at a time; nil if that is no news. It needs the
-// lock.
-func (s *Set) over(start string, at time.Time, source string) *limit {
+// noteNoLimit records that a start had no limit at the given time. It returns nil if a later time
+// is known. The caller must hold s.mu.
+func (s *Set) noteNoLimit(start string, at time.Time, source string) *limit {
 	l, ok := s.limits[start]
-	if !ok || !at.After(l.overAt) {
+	if !ok || !at.After(l.noLimitAt) {
 		return nil
 	}
-	held := l.holds()
-	l.overAt = at
-	if held && !l.holds() {
-		s.inForce.Add(-1)
+	wasInForce := l.inForce()
+	l.noLimitAt = at
+	if wasInForce && !l.inForce() {
+		s.inForceCount.Add(-1)
 		s.rec.Note(events.LimitOver, "", "upstream", start, "rate", l.rate, "lasted", s.now().Sub(l.since), "source", source)
-		s.news()
+		s.announce()
 	}
 	return l
 }
 
-// Sweep forgets the limits of starts that are not there any more, and old answers.
-func (s *Set) Sweep(there func(start string) bool) {
+// Sweep drops the limits of starts that no longer exist, and old answers.
+func (s *Set) Sweep(exists func(start string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	for start, l := range s.limits {
-		// Others may tell of a start whose row is not known yet.
-		if there(start) || now.Sub(l.since) < rowWithin && now.Sub(l.namedAt) < rowWithin {
+		// Other entries may report a start whose row has not been read here yet.
+		if exists(start) || now.Sub(l.since) < rowReadWithin && now.Sub(l.advertisedAt) < rowReadWithin {
 			continue
 		}
-		if l.holds() {
-			s.inForce.Add(-1)
+		if l.inForce() {
+			s.inForceCount.Add(-1)
 		}
 		delete(s.limits, start)
 	}
-	s.forgetAnswers()
+	s.evictAnswers()
 }
 
-// rowWithin is the time in which the row of a start is known, also while the store is slow.
-const rowWithin = 10 * time.Second
+// rowReadWithin is the time within which the row of a start is read, even while the store is slow.
+const rowReadWithin = 10 * time.Second
 
-// Alone returns the Others of a process that is the only one to send requests to its upstreams.
+// Alone returns the Others of a process that is the only sender of requests to its upstreams.
 func Alone() Others {
 	return Others{
 		Heard: func() []Entry { return nil }, Send: func(string, Message) {},
--- a/internal/limits/message.go
+++ b/internal/limits/message.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// Message is what an entry sends another one, as CBOR. Times are told by their age.
+// Message is what entries send each other, as CBOR. Times are encoded as ages.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
-	// Life tells the starts of the sender apart, and Knows is the life of the receiver in
-	// which it is known to be aware of limits; empty for none.
+	// Life identifies the current start of the sender. Knows is the start of the receiver that the
+	// sender knows to support limits; empty for none.
 	Life  string
 	Knows string
-	// Asks tells that the sender has not heard that the receiver knows the same of it.
-	Asks     bool
-	Words    []wireWord
+	// Asks is set until the receiver has confirmed that it knows the same about the sender.
+	Asks bool
+	// Words are the observations that the sender made itself.
+	Words    []wireObservation
 	Question *Question
 	Answer   *Answer
 }
 
-// wireWord is a Word on its way. An age of ageNever stands for a time that never was.
-type wireWord struct {
+// wireObservation is an encoded Observation. NamedAgeUS is the age of AdvertisedAt and OverAgeUS that
+// of NoLimitAt, in microseconds; neverAge stands for a zero time.
+type wireObservation struct {
 	_          struct{} `cbor:",toarray"`
 	Start      string
 	Rate       float64
@@ -28,70 +30,71 @@
 	OverAgeUS  int64
 }
 
-// ageNever is the age of what never was.
-const ageNever = -1
+// neverAge is the age of a zero time.
+const neverAge = -1
 
-// What another entry says is taken within bounds, so that one with a fault costs little: words of
-// any age count as an hour old at most, limits as mostRate requests a second, and a permit is asked
-// for again after mostWait, which is longer than a granter makes anybody wait.
+// Values from other entries are limited, so that a faulty entry does little harm: ages count as at
+// most maxAge, rates as at most maxRate requests a second, and waits as at most maxWait, which is
+// longer than any granter asks for.
 const (
-	mostAge  = time.Hour
-	mostRate = 1_000_000
-	mostWait = 10 * time.Second
+	maxAge  = time.Hour
+	maxRate = 1_000_000
+	maxWait = 10 * time.Second
 )
 
-// ago returns the time of an age in microseconds before another time.
-func ago(from time.Time, ageUS int64) time.Time {
-	return from.Add(-time.Duration(min(ageUS, mostAge.Microseconds())) * time.Microsecond)
+// timeAtAge returns the time that lies an age in microseconds before another time.
+func timeAtAge(from time.Time, ageUS int64) time.Time {
+	return from.Add(-time.Duration(min(ageUS, maxAge.Microseconds())) * time.Microsecond)
 }
 
-// wait returns how long an answer makes the asker wait.
+// wait returns how long the asking entry waits before it asks again.
 func (a Answer) wait() time.Duration {
-	return time.Duration(min(max(a.WaitUS, 0), mostWait.Microseconds())) * time.Microsecond
+	return time.Duration(min(max(a.WaitUS, 0), maxWait.Microseconds())) * time.Microsecond
 }
 
-// Question asks for a permit to send one request to a start of an upstream. The word is what
-// the asker believes, so that the granter knows at least as much.
+// Question asks for a permit to send one request to an upstream start. Word is what the asking
+// entry knows about the limit, so that the granter knows at least as much.
 type Question struct {
 	_    struct{} `cbor:",toarray"`
 	ID   uint64
-	Word wireWord
+	Word wireObservation
 }
 
-// Answer answers a Question. The word is what the granter read itself.
+// Answer answers a Question. Word is what the granter observed itself.
 type Answer struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
 	Granted bool
-	// WaitUS is the time until a permit may be had, in microseconds.
+	// WaitUS is the time until a permit may be available, in microseconds.
 	WaitUS int64
-	Word   wireWord
+	Word   wireObservation
 }
 
-func encodeWord(w Word, now time.Time) wireWord {
-	return wireWord{Start: w.Start, Rate: w.Rate, NamedAgeUS: age(w.Named, now), OverAgeUS: age(w.Over, now)}
+func encodeObservation(w Observation, now time.Time) wireObservation {
+	return wireObservation{Start: w.Start, Rate: w.Rate, NamedAgeUS: age(w.AdvertisedAt, now), OverAgeUS: age(w.NoLimitAt, now)}
 }
 
 func age(at, now time.Time) int64 {
 	if at.IsZero() {
-		return ageNever
+		return neverAge
 	}
 	return max(now.Sub(at).Microseconds(), 0)
 }
 
-// decode returns a word that was sent no earlier than a time and came now; a zero time stands
-// for any. That it was over is dated back to that time: it may have lain in a buffer, and the
-// upstream may have named a limit since. A word that cannot be is empty.
-func (w wireWord) decode(sent, now time.Time) Word {
-	out := Word{Start: w.Start, Rate: min(w.Rate, mostRate)}
+// decode returns the observation in a message that was not sent before sent and arrived now; sent
+// is zero if unknown. The age of the time without a limit counts from sent, since the message may
+// have waited in a buffer while the upstream advertised a limit again. Without sent, that time is
+// dropped. An invalid observation is returned as a zero value.
+func (w wireObservation) decode(sent, now time.Time) Observation {
+	out := Observation{Start: w.Start, Rate: min(w.Rate, maxRate)}
 	if w.Start == "" || math.IsNaN(w.Rate) || math.IsInf(w.Rate, 0) || w.Rate < 0 {
-		return Word{}
+		return Observation{}
 	}
 	if w.NamedAgeUS >= 0 {
-		out.Named = ago(now, w.NamedAgeUS)
+		out.AdvertisedAt = timeAtAge(now, w.NamedAgeUS)
 	}
 	if w.OverAgeUS >= 0 && !sent.IsZero() {
-		out.Over = ago(sent, w.OverAgeUS)
+		out.NoLimitAt = timeAtAge(sent, w.OverAgeUS)
 	}
 	return out
 }
--- a/internal/limits/peers.go
+++ b/internal/limits/peers.go
@@ -5,40 +5,40 @@
 // Entry is another entry of the deployment.
 type Entry struct {
 	Name string
-	// Life tells its starts apart.
+	// Life identifies its current start.
 	Life string
-	// Stops tells that it is about to end.
+	// Stops is set when it is about to stop.
 	Stops bool
 }
 
-// peer is what another entry told of itself in the messages about limits.
+// peer is what another entry reported about itself in messages about limits.
 type peer struct {
-	// life is the life in which it told of limits: it is aware of them. An entry of an earlier
-	// release tells nothing.
+	// life is the start in which the peer sent messages about limits and thus supports them.
+	// Entries of earlier releases send none.
 	life string
-	// knows tells that it knows that this life of this entry is aware of limits.
-	knows bool
-	// asks tells that it has not heard from this entry that this one knows it.
-	asks bool
+	// acknowledged is set if the peer knows that this start of this entry supports limits.
+	acknowledged bool
+	// wantsAck is set until the peer has heard that this entry knows the same about it.
+	wantsAck bool
 }
 
-// met takes over what a message tells of its sender. It needs the lock.
-func (s *Set) met(from string, m Message) {
+// updatePeer records what a message tells about its sender. The caller must hold s.mu.
+func (s *Set) updatePeer(from string, m Message) {
 	if m.Life == "" {
 		return
 	}
-	if _, known := s.peers[from]; !known && len(s.peers) >= mostPeers {
-		s.forgetPeers()
+	if _, known := s.peers[from]; !known && len(s.peers) >= maxPeers {
+		s.dropSilentPeers()
 	}
-	s.peers[from] = &peer{life: m.Life, knows: m.Knows == s.life, asks: m.Asks}
+	s.peers[from] = &peer{life: m.Life, acknowledged: m.Knows == s.life, wantsAck: m.Asks}
 }
 
-// mostPeers bounds the entries that are remembered: ten times as many as a deployment has.
-const mostPeers = 4096
+// maxPeers bounds the entries that are kept: ten times as many as a deployment has.
+const maxPeers = 4096
 
-// forgetPeers forgets the entries that are not heard; they are asked again once they are. It needs
-// the lock.
-func (s *Set) forgetPeers() {
+// dropSilentPeers drops the entries that are not heard. They are asked again once they are heard.
+// The caller must hold s.mu.
+func (s *Set) dropSilentPeers() {
 	heard := map[string]bool{}
 	for _, e := range s.others.Heard() {
 		heard[e.Name] = true
@@ -46,56 +46,58 @@
 	maps.DeleteFunc(s.peers, func(name string, _ *peer) bool { return !heard[name] })
 }
 
-// aware returns the names of the entries that are heard, that do not stop, and that are aware of
-// limits. It needs the lock.
-func (s *Set) aware() []string {
+// granterCandidates returns the names of the other entries that are heard, are not stopping and
+// support limits. The caller must hold s.mu.
+func (s *Set) granterCandidates() []string {
 	var out []string
 	for _, e := range s.others.Heard() {
-		if !e.Stops && s.isAware(e) {
+		if !e.Stops && s.supportsLimits(e) {
 			out = append(out, e.Name)
 		}
 	}
 	return out
 }
 
-// isAware reports whether an entry is known to be aware of limits. It needs the lock.
-func (s *Set) isAware(e Entry) bool {
+// supportsLimits reports whether the current start of an entry is known to support limits. The
+// caller must hold s.mu.
+func (s *Set) supportsLimits(e Entry) bool {
 	p, known := s.peers[e.Name]
 	return known && p.life == e.Life
 }
 
-// address completes a message for an entry. It needs the lock.
-func (s *Set) address(to string, m Message) Message {
+// withHandshake fills in the fields of a message by which two entries confirm to each other that
+// they support limits. The caller must hold s.mu.
+func (s *Set) withHandshake(to string, m Message) Message {
 	m.Life = s.life
 	p, known := s.peers[to]
 	if known {
-		m.Knows, p.asks = p.life, false
+		m.Knows, p.wantsAck = p.life, false
 	}
-	m.Asks = !known || !p.knows
+	m.Asks = !known || !p.acknowledged
 	return m
 }
 
-// Round returns what other entries are to be told in a round of regular messages, by name. All are
-// told of news. Later only those are that this entry and they do not know of each other that they
-// are aware of limits: all have to know the same ones to agree on who grants permits. It is empty
-// while no limit is in force and none was lately; others is not asked then.
+// Round returns the messages of one regular round, by name of the receiver. After a change they go
+// to all entries. Later they go only to entries whose support of limits is not yet mutually
+// confirmed: to agree on the granter, all entries have to know the same candidates. Round returns
+// nil without calling others while no limit is in force and none was recently.
 func (s *Set) Round(others func() []Entry) map[string]Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := s.now().Before(s.newsUntil)
+	all := s.now().Before(s.announceUntil)
 	if !all && !s.Any() {
 		return nil
 	}
 	out := map[string]Message{}
-	words := s.words()
+	observations := s.observations()
 	for _, e := range others() {
 		p, known := s.peers[e.Name]
 		if known && p.life != e.Life {
 			delete(s.peers, e.Name)
 			known = false
 		}
-		if all || !known || !p.knows || p.asks {
-			out[e.Name] = s.address(e.Name, Message{Words: words})
+		if all || !known || !p.acknowledged || p.wantsAck {
+			out[e.Name] = s.withHandshake(e.Name, Message{Words: observations})
 		}
 	}
 	return out
--- a/internal/limits/rig_test.go
+++ b/internal/limits/rig_test.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	// rigWindow is the window in which requests at the upstream count; rigKnown is how long
-	// after it first named a limit that holds, for entries that it had told rigTold before.
-	rigWindow = 4 * time.Second
-	rigKnown  = 3 * time.Second
-	rigTold   = 500 * time.Millisecond
-	// rigUrgent is how long an urgent message waits at most.
-	rigUrgent = 100 * time.Millisecond
-	// rigMessages bounds an entry's regular messages a second.
-	rigMessages = 250
-	// rigStart names the start of the upstream.
+	// rigWindow is the window in which requests at the upstream are counted. A limit has to be kept
+	// rigSettled after it was first advertised, by entries that learned of it at least rigInformed
+	// ago.
+	rigWindow   = 4 * time.Second
+	rigSettled  = 3 * time.Second
+	rigInformed = 500 * time.Millisecond
+	// rigMaxUrgentDelay is the longest delay of an urgent round.
+	rigMaxUrgentDelay = 100 * time.Millisecond
+	// rigMessageRate bounds an entry's regular messages a second.
+	rigMessageRate = 250
+	// rigStart is the start of the upstream.
 	rigStart = "u"
 )
 
-// rig is a deployment on virtual time: entries with their Sets, one upstream, and callers.
+// rig simulates a deployment on virtual time: entries with their Sets, one upstream, and callers.
 //
-// A Set calls the functions of its entry while it is locked, and they lock the rig: nothing here
-// calls a Set with the rig locked.
+// A Set calls the functions of its entry while it is locked, and they lock the rig. To avoid a
+// deadlock, nothing calls a Set that is in use while the rig is locked.
 type rig struct {
-	way  time.Duration
-	loss float64
-	// equal makes each entry use an equal part by itself, instead of asking.
-	equal bool
+	roundTrip time.Duration
+	loss      float64
+	// equalShares gives each entry a fixed equal share of the limit instead of permits.
+	equalShares bool
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	entries []*rigEntry
-	// cut holds the entries on the smaller side of a cut.
-	cut map[*rigEntry]bool
-
-	// rate is what the upstream takes; 0 for no limit. since is when it first said so.
-	rate    float64
-	since   time.Time
-	largest []rigRate
-	// arrived is what reached the upstream.
-	arrived []rigArrival
+	// minority holds the entries on the smaller side of a network partition.
+	minority map[*rigEntry]bool
+
+	// rate is the limit of the upstream, 0 for none, and since is when it was first advertised.
+	rate  float64
+	since time.Time
+	rates []rigRate
+	// arrivals are the requests that reached the upstream.
+	arrivals []rigArrival
 }
 
 type rigRate struct {
@@ -60,8 +61,8 @@
 
 type rigArrival struct {
 	at time.Time
-	// told tells that it counts as told at that moment.
-	told bool
+	// informed is set if the entry counted as informed of the limit at that time.
+	informed bool
 }
 
 type rigEntry struct {
@@ -70,32 +71,32 @@
 	// The following are guarded by the rig's lock.
 
 	set *Set
-	// life counts its starts; 0 while it is down.
-	life  int
-	lives int
-	// asked and served count its callers' requests.
-	asked, served int
-	// startedAt, frozenAt and cutAt are when that was last done to it, and disturbed when
-	// anything was, or ended.
-	startedAt, frozenAt, cutAt, disturbed time.Time
-	frozen                                bool
-	// told is when it first was told of the limit.
-	told time.Time
-	// urged is set while an urgent message waits.
-	urged bool
-	own   *rate.Limiter
+	// life is the number of the current start; 0 while the entry is down.
+	life     int
+	lastLife int
+	// requested and served count the requests of the entry's callers.
+	requested, served int
+	// startedAt, frozenAt and partitionedAt are when this last happened to the entry, and
+	// disturbedAt when a fault of the entry last began or ended.
+	startedAt, frozenAt, partitionedAt, disturbedAt time.Time
+	frozen                                          bool
+	// informedAt is when the entry first learned of the limit.
+	informedAt time.Time
+	// roundPending is set while an urgent round is scheduled.
+	roundPending bool
+	ownLimiter   *rate.Limiter
 }
 
-func newRig(seed uint64, entries int, way time.Duration, loss float64) *rig {
-	r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), way: way, loss: loss, cut: map[*rigEntry]bool{}}
+func newRig(seed uint64, entries int, roundTrip time.Duration, loss float64) *rig {
+	r := &rig{rng: rand.New(rand.NewPCG(seed, 1)), roundTrip: roundTrip, loss: loss, minority: map[*rigEntry]bool{}}
 	for i := range entries {
 		r.add(fmt.Sprintf("entry-%d", i))
 	}
-	r.listed()
+	r.updateEntryCounts()
 	return r
 }
 
-// add adds an entry that starts now.
+// add adds an entry and starts it.
 func (r *rig) add(name string) {
 	e := &rigEntry{rig: r, name: name}
 	r.mu.Lock()
@@ -104,50 +105,50 @@
 	e.start()
 }
 
-// all returns all entries.
+// all returns a copy of the list of entries.
 func (r *rig) all() []*rigEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.entries)
 }
 
-// listed tells all entries how many there are, as the list of entries does.
-func (r *rig) listed() {
+// updateEntryCounts gives each entry the number of entries, as the list of entries does.
+func (r *rig) updateEntryCounts() {
 	all := r.all()
 	for _, e := range all {
 		e.current().Listed(len(all))
 	}
 }
 
-// current returns the Set of the present life.
+// current returns the Set of the entry's current start.
 func (e *rigEntry) current() *Set {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
 	return e.set
 }
 
-// every is the time between two regular messages. It needs the lock.
-func (r *rig) every() time.Duration {
-	return max(200*time.Millisecond, time.Duration(len(r.entries))*time.Second/rigMessages)
+// interval returns the time between two regular rounds. The caller must hold the rig's lock.
+func (r *rig) interval() time.Duration {
+	return max(200*time.Millisecond, time.Duration(len(r.entries))*time.Second/rigMessageRate)
 }
 
-// start begins a life that knows nothing.
+// start starts the entry with an empty Set.
 func (e *rigEntry) start() {
 	r := e.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.lives++
-	life := e.lives
+	e.lastLife++
+	life := e.lastLife
 	e.life = life
-	e.startedAt, e.told, e.own, e.urged = time.Now(), time.Time{}, nil, false
+	e.startedAt, e.informedAt, e.ownLimiter, e.roundPending = time.Now(), time.Time{}, nil, false
 	e.set = New(e.name, strconv.Itoa(life), Others{
 		Heard: func() []Entry {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			var out []Entry
 			for _, o := range r.entries {
-				if e.hears(o) {
-					out = append(out, o.entry())
+				if e.hearsFrom(o) {
+					out = append(out, o.asPeer())
 				}
 			}
 			return out
@@ -161,63 +162,63 @@
 				}
 			}
 		},
-		Urge: func() { e.urge(life) },
+		Urge: func() { e.scheduleRound(life) },
 		Told: func() time.Duration {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return rigUrgent + r.every() + r.way
+			return rigMaxUrgentDelay + r.interval() + r.roundTrip
 		},
-		Way: func() time.Duration { return r.way },
+		Way: func() time.Duration { return r.roundTrip },
 	}, events.Nop(), time.Now)
 	e.set.Listed(len(r.entries))
-	go e.rounds(life)
+	go e.sendRounds(life)
 }
 
-// end ends the present life.
+// end stops the entry.
 func (e *rigEntry) end() {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
-	e.life, e.disturbed = 0, time.Now()
+	e.life, e.disturbedAt = 0, time.Now()
 }
 
-// freeze stops an entry from running, or lets it run again.
+// freeze suspends an entry or lets it run again.
 func (e *rigEntry) freeze(frozen bool) {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
-	e.frozen, e.disturbed = frozen, time.Now()
+	e.frozen, e.disturbedAt = frozen, time.Now()
 	if frozen {
 		e.frozenAt = time.Now()
 	}
 }
 
-// separate cuts some entries off from the others, or nobody.
-func (r *rig) separate(some ...*rigEntry) {
+// partition cuts the given entries off from the others. Without entries it ends the partition.
+func (r *rig) partition(some ...*rigEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for e := range r.cut {
-		e.disturbed = time.Now()
+	for e := range r.minority {
+		e.disturbedAt = time.Now()
 	}
-	r.cut = map[*rigEntry]bool{}
+	r.minority = map[*rigEntry]bool{}
 	for _, e := range some {
-		r.cut[e], e.disturbed, e.cutAt = true, time.Now(), time.Now()
+		r.minority[e], e.disturbedAt, e.partitionedAt = true, time.Now(), time.Now()
 	}
 }
 
-// runs reports whether a life of an entry runs. It needs the lock.
-func (e *rigEntry) runs(life int) bool { return life > 0 && e.life == life && !e.frozen }
+// alive reports whether a start of an entry is running. The caller must hold the rig's lock.
+func (e *rigEntry) alive(life int) bool { return life > 0 && e.life == life && !e.frozen }
 
-// hears reports whether an entry hears another one: silence shows after some messages. It needs
-// the lock.
-func (e *rigEntry) hears(o *rigEntry) bool {
+// hearsFrom reports whether e counts another entry as heard: silence is noticed after three
+// intervals. The caller must hold the rig's lock.
+func (e *rigEntry) hearsFrom(o *rigEntry) bool {
 	r := e.rig
-	silence := 3 * r.every()
+	silence := 3 * r.interval()
 	switch {
-	case o == e || o.life == 0 || time.Since(o.startedAt) <= r.way:
+	case o == e || o.life == 0 || time.Since(o.startedAt) <= r.roundTrip:
 		return false
 	case o.frozen:
 		return time.Since(o.frozenAt) < silence
-	case r.cut[e] != r.cut[o]:
-		return time.Since(later(e.cutAt, o.cutAt)) < silence
+	case r.minority[e] != r.minority[o]:
+		return time.Since(later(e.partitionedAt, o.partitionedAt)) < silence
 	}
 	return true
 }
@@ -229,38 +230,38 @@
 	return b
 }
 
-// rounds sends regular messages.
-func (e *rigEntry) rounds(life int) {
+// sendRounds sends the regular rounds of one start.
+func (e *rigEntry) sendRounds(life int) {
 	for {
 		e.rig.mu.Lock()
-		every, runs := e.rig.every(), e.life == life
+		interval, alive := e.rig.interval(), e.life == life
 		e.rig.mu.Unlock()
-		if !runs {
+		if !alive {
 			return
 		}
-		time.Sleep(every)
-		e.tellAll(life)
+		time.Sleep(interval)
+		e.sendRound(life)
 	}
 }
 
-// urge sends a message to all soon.
-func (e *rigEntry) urge(life int) {
+// scheduleRound schedules an urgent round, unless one is scheduled already.
+func (e *rigEntry) scheduleRound(life int) {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
-	if e.urged {
+	if e.roundPending {
 		return
 	}
-	e.urged = true
-	time.AfterFunc(time.Duration(e.rig.rng.Int64N(int64(rigUrgent))), func() {
+	e.roundPending = true
+	time.AfterFunc(time.Duration(e.rig.rng.Int64N(int64(rigMaxUrgentDelay))), func() {
 		e.rig.mu.Lock()
-		e.urged = false
+		e.roundPending = false
 		e.rig.mu.Unlock()
-		e.tellAll(life)
+		e.sendRound(life)
 	})
 }
 
-// entry is what others know of it. It needs the lock.
-func (e *rigEntry) entry() Entry { return Entry{Name: e.name, Life: strconv.Itoa(e.life)} }
+// asPeer returns what other entries know about this one. The caller must hold the rig's lock.
+func (e *rigEntry) asPeer() Entry { return Entry{Name: e.name, Life: strconv.Itoa(e.life)} }
 
 // others returns all other entries.
 func (e *rigEntry) others() []Entry {
@@ -269,19 +270,19 @@
 	var out []Entry
 	for _, o := range e.rig.entries {
 		if o != e {
-			out = append(out, o.entry())
+			out = append(out, o.asPeer())
 		}
 	}
 	return out
 }
 
-// tellAll sends what there is to tell to those who are to hear it.
-func (e *rigEntry) tellAll(life int) {
+// sendRound sends the messages of one round.
+func (e *rigEntry) sendRound(life int) {
 	r := e.rig
 	r.mu.Lock()
-	set, runs := e.set, e.runs(life)
+	set, alive := e.set, e.alive(life)
 	r.mu.Unlock()
-	if !runs {
+	if !alive {
 		return
 	}
 	messages, now := set.Round(e.others), time.Now()
@@ -294,17 +295,17 @@
 	}
 }
 
-// send sends a message, which may be lost and takes up to one and a half times the way. It needs
-// the lock.
+// send sends a message, which may be lost and takes a quarter to three quarters of a round trip.
+// The caller must hold the rig's lock.
 func (e *rigEntry) send(life int, o *rigEntry, m Message, at time.Time) {
 	r := e.rig
-	if !e.runs(life) || r.rng.Float64() < r.loss || r.cut[e] != r.cut[o] {
+	if !e.alive(life) || r.rng.Float64() < r.loss || r.minority[e] != r.minority[o] {
 		return
 	}
 	to, set := o.life, o.set
-	time.AfterFunc(time.Duration((0.25+r.rng.Float64()/2)*float64(r.way)), func() {
+	time.AfterFunc(time.Duration((0.25+r.rng.Float64()/2)*float64(r.roundTrip)), func() {
 		r.mu.Lock()
-		lost := !o.runs(to) || r.cut[e] != r.cut[o]
+		lost := !o.alive(to) || r.minority[e] != r.minority[o]
 		r.mu.Unlock()
 		if !lost {
 			set.Hear(e.name, m, at)
@@ -312,19 +313,19 @@
 	})
 }
 
-// request is one request of a caller at an entry.
+// request handles one request of a caller at an entry.
 func (r *rig) request(e *rigEntry) {
 	r.mu.Lock()
-	life, set, runs := e.life, e.set, e.runs(e.life)
-	e.asked++
+	life, set, alive := e.life, e.set, e.alive(e.life)
+	e.requested++
 	r.mu.Unlock()
-	if !runs {
+	if !alive {
 		return
 	}
 	sent := time.Now()
-	if r.equal {
-		if e.takeOwn() {
-			r.arrive(e, life, sent)
+	if r.equalShares {
+		if e.takeEqualShare() {
+			r.forward(e, life, sent)
 		}
 		return
 	}
@@ -332,73 +333,73 @@
 		r.mu.Lock()
 		e.served++
 		r.mu.Unlock()
-		r.arrive(e, life, time.Now())
+		r.forward(e, life, time.Now())
 	}
 }
 
-// takeOwn takes a permit out of an equal part.
-func (e *rigEntry) takeOwn() bool {
+// takeEqualShare takes a permit from the entry's fixed share.
+func (e *rigEntry) takeEqualShare() bool {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
 	if !e.set.Any() {
 		return true
 	}
-	if e.own == nil {
-		e.own = rate.NewLimiter(rate.Limit(e.rig.rate/float64(len(e.rig.entries))), 1)
-		e.own.Allow()
+	if e.ownLimiter == nil {
+		e.ownLimiter = rate.NewLimiter(rate.Limit(e.rig.rate/float64(len(e.rig.entries))), 1)
+		e.ownLimiter.Allow()
 	}
-	return e.own.Allow()
+	return e.ownLimiter.Allow()
 }
 
-// arrive is a request on its way to the upstream and back.
-func (r *rig) arrive(e *rigEntry, life int, sent time.Time) {
+// forward sends a request to the upstream and processes the answer.
+func (r *rig) forward(e *rigEntry, life int, sent time.Time) {
 	r.mu.Lock()
-	runs := e.runs(life)
+	alive := e.alive(life)
 	r.mu.Unlock()
-	if !runs {
+	if !alive {
 		return
 	}
-	time.Sleep(r.way / 2)
+	time.Sleep(r.roundTrip / 2)
 	at := time.Now()
 	r.mu.Lock()
-	told := !e.told.IsZero() && at.Sub(e.told) >= rigTold && at.Sub(e.disturbed) >= rigKnown && !r.cut[e]
-	r.arrived = append(r.arrived, rigArrival{at, told})
-	named := r.rate
+	informed := !e.informedAt.IsZero() && at.Sub(e.informedAt) >= rigInformed && at.Sub(e.disturbedAt) >= rigSettled && !r.minority[e]
+	r.arrivals = append(r.arrivals, rigArrival{at, informed})
+	advertised := r.rate
 	r.mu.Unlock()
-	time.Sleep(r.way / 2)
+	time.Sleep(r.roundTrip / 2)
 	r.mu.Lock()
-	runs, set := e.runs(life), e.set
-	// An answer that was made before the limit changed tells nothing of the next one.
-	if runs && named > 0 && e.told.IsZero() && !at.Before(r.since) {
-		e.told = at
+	alive, set := e.alive(life), e.set
+	// An answer that was made before the limit changed tells nothing about the next limit.
+	if alive && advertised > 0 && e.informedAt.IsZero() && !at.Before(r.since) {
+		e.informedAt = at
 	}
 	r.mu.Unlock()
 	switch {
-	case !runs:
-	case named == 0:
+	case !alive:
+	case advertised == 0:
 		set.Unnamed(rigStart, sent)
 	default:
-		set.Named(rigStart, named)
+		set.Named(rigStart, advertised)
 	}
 }
 
-// limit sets what the upstream takes from now on; 0 for any number.
+// limit sets the limit of the upstream from now on; 0 for none.
 func (r *rig) limit(perSecond float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.rate == 0 || perSecond == 0 {
 		r.since = time.Now()
 		for _, e := range r.entries {
-			e.told = time.Time{}
+			e.informedAt = time.Time{}
 		}
 	}
 	r.rate = perSecond
-	r.largest = append(r.largest, rigRate{time.Now(), perSecond})
+	r.rates = append(r.rates, rigRate{time.Now(), perSecond})
 }
 
-// callers sends requests for a while: a number a second in all, of which the entry of rank k
-// gets a part of 1/k.
-func (r *rig) callers(perSecond float64, lasts time.Duration) {
+// generateLoad sends a number of requests a second in all for a while. The entry of rank k gets a
+// share in proportion to 1/k.
+func (r *rig) generateLoad(perSecond float64, lasts time.Duration) {
 	all := r.all()
 	weights, sum := make([]float64, len(all)), 0.0
 	for i := range weights {
@@ -418,12 +419,12 @@
 	}
 }
 
-// used is the part of a limit that reached the upstream since a time.
-func (r *rig) used(from time.Time) float64 {
+// usedShare returns the share of the limit that reached the upstream since a time.
+func (r *rig) usedShare(from time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, a := range r.arrived {
+	for _, a := range r.arrivals {
 		if !a.at.Before(from) {
 			n++
 		}
@@ -431,43 +432,43 @@
 	return float64(n) / (r.rate * time.Since(from).Seconds())
 }
 
-// most is the largest number of requests in a window, of those told and of all, and how far
-// the former is beyond what is allowed; negative if it is not.
-func (r *rig) most() (told, all, beyond int) {
+// peak returns the largest number of requests in a window, of informed entries and of all, and by
+// how much the former exceeds the allowed number; negative if it does not.
+func (r *rig) peak() (informed, all, excess int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	beyond = math.MinInt
-	for i, a := range r.arrived {
-		if a.at.Sub(r.since) < rigKnown {
+	excess = math.MinInt
+	for i, a := range r.arrivals {
+		if a.at.Sub(r.since) < rigSettled {
 			continue
 		}
-		nTold, nAll := 0, 0
-		for j := i; j >= 0 && a.at.Sub(r.arrived[j].at) <= rigWindow; j-- {
+		nInformed, nAll := 0, 0
+		for j := i; j >= 0 && a.at.Sub(r.arrivals[j].at) <= rigWindow; j-- {
 			nAll++
-			if r.arrived[j].told {
-				nTold++
+			if r.arrivals[j].informed {
+				nInformed++
 			}
 		}
-		told, all = max(told, nTold), max(all, nAll)
-		beyond = max(beyond, nTold-r.allowed(a.at))
+		informed, all = max(informed, nInformed), max(all, nAll)
+		excess = max(excess, nInformed-r.allowed(a.at))
 	}
-	return told, all, beyond
+	return informed, all, excess
 }
 
-// allowed is how many requests may reach the upstream in the window before a time. It needs the
-// lock.
+// allowed returns how many requests may reach the upstream in the window before a time. The caller
+// must hold the rig's lock.
 func (r *rig) allowed(at time.Time) int {
-	most := 0.0
-	for i, l := range r.largest {
-		if l.at.After(at) || i+1 < len(r.largest) && r.largest[i+1].at.Before(at.Add(-rigWindow)) {
+	highest := 0.0
+	for i, l := range r.rates {
+		if l.at.After(at) || i+1 < len(r.rates) && r.rates[i+1].at.Before(at.Add(-rigWindow)) {
 			continue
 		}
-		most = max(most, l.rate)
+		highest = max(highest, l.rate)
 	}
-	return int(1.5*most*rigWindow.Seconds()) + 5
+	return int(1.5*highest*rigWindow.Seconds()) + 5
 }
 
-// stop ends all entries, so that the play can end.
+// stop ends all entries, so that the simulation can end.
 func (r *rig) stop() {
 	for _, e := range r.all() {
 		e.end()
--- a/internal/limits/share_test.go
+++ b/internal/limits/share_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// TestPartOfALimitThatIsUsed plays one upstream that takes a few requests a second from all
-// entries, whose callers are uneven, and prints what part is used and how many requests came in
-// a window at most. Equal parts for each entry leave a fifth to all of it unused.
-func TestPartOfALimitThatIsUsed(t *testing.T) {
+// TestUsedShareOfALimit simulates one upstream with a limit and uneven load over the entries. It
+// logs the used share of the limit and the peak in a window, also with fixed equal shares, which
+// leave between a fifth and all of the limit unused.
+func TestUsedShareOfALimit(t *testing.T) {
 	for _, tc := range []struct {
-		entries int
-		limit   float64
-		load    float64
-		way     time.Duration
-		loss    float64
-		// least is the part that has to be used.
+		entries   int
+		limit     float64
+		load      float64
+		roundTrip time.Duration
+		loss      float64
+		// least is the smallest share that has to be used.
 		least float64
 	}{
 		{1, 3.2, 4, 3 * time.Millisecond, 0, 0.9},
@@ -33,20 +33,20 @@
 		{300, 30, 4, 3 * time.Millisecond, 0.02, 0.9},
 	} {
 		used := map[bool]float64{}
-		for _, equal := range []bool{false, true} {
+		for _, equalShares := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(1, tc.entries, tc.way, tc.loss)
-				r.equal = equal
+				r := newRig(1, tc.entries, tc.roundTrip, tc.loss)
+				r.equalShares = equalShares
 				r.limit(tc.limit)
-				go r.callers(tc.load*tc.limit, 40*time.Second)
+				go r.generateLoad(tc.load*tc.limit, 40*time.Second)
 				time.Sleep(5 * time.Second)
 				from := time.Now()
 				time.Sleep(35 * time.Second)
-				used[equal] = r.used(from)
-				told, all, beyond := r.most()
-				t.Logf("%3d entries, %5.1f a second, load %.0f, way %s, loss %.2f, equal parts %5v: used %.2f, %d and %d of all in %s, allowed %d", tc.entries, tc.limit, tc.load, tc.way, tc.loss, equal, used[equal], told, all, rigWindow, int(1.5*tc.limit*rigWindow.Seconds())+5)
-				if !equal && beyond > 0 {
-					t.Errorf("%d requests more than allowed", beyond)
+				used[equalShares] = r.usedShare(from)
+				informed, all, excess := r.peak()
+				t.Logf("%3d entries, %5.1f a second, load %.0f, round trip %s, loss %.2f, equal shares %5v: used %.2f, peak %d of informed entries and %d of all in %s, allowed %d", tc.entries, tc.limit, tc.load, tc.roundTrip, tc.loss, equalShares, used[equalShares], informed, all, rigWindow, int(1.5*tc.limit*rigWindow.Seconds())+5)
+				if !equalShares && excess > 0 {
+					t.Errorf("%d requests more than allowed", excess)
 				}
 				r.stop()
 			})
@@ -57,32 +57,33 @@
 	}
 }
 
-// On both sides of a cut one entry takes itself for the one that grants permits. The upstream
-// still gets no more than it takes of all together, though those cut off are excused.
-func TestBothSidesOfACut(t *testing.T) {
+// Each side of a network partition has a granter of its own. Guards against both sides together
+// exceeding the limit, although the entries that were cut off are exempt from the check of the
+// peak.
+func TestGrantsOnBothSidesOfAPartition(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		entries  int
-		cut      int
+		minority int
 		most     float64
 		leastAll float64
 	}{
-		{"halves share it", 4, 2, 1.2, 0.8},
-		{"the larger side has it, and the other one its part", 5, 2, 1.5, 1},
-		{"one that is cut off has its part", 4, 1, 1.4, 1},
+		{"halves share the limit", 4, 2, 1.2, 0.8},
+		{"the majority has the limit and the minority its share", 5, 2, 1.5, 1},
+		{"one entry that is cut off has its share", 4, 1, 1.4, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const limit = 100.0
 				r := newRig(1, tc.entries, 3*time.Millisecond, 0)
 				r.limit(limit)
-				go r.callers(6*limit, 20*time.Second)
+				go r.generateLoad(6*limit, 20*time.Second)
 				time.Sleep(5 * time.Second)
-				r.separate(r.all()[:tc.cut]...)
+				r.partition(r.all()[:tc.minority]...)
 				time.Sleep(3 * time.Second)
 				from := time.Now()
 				time.Sleep(10 * time.Second)
-				used := r.used(from)
+				used := r.usedShare(from)
 				t.Logf("both sides use %.2f of the limit", used)
 				if used < tc.leastAll || used > tc.most {
 					t.Errorf("both sides use %.2f of the limit, want %.2f to %.2f", used, tc.leastAll, tc.most)
@@ -94,8 +95,8 @@
 	}
 }
 
-// Callers of an entry with few of them are served as often as those of one with many: whoever
-// asks first gets the next permit.
+// Guards against entries with few callers being served less often than those with many: the next
+// permit goes to the entry that asks first.
 func TestNoEntryStarves(t *testing.T) {
 	for _, tc := range []struct {
 		entries int
@@ -104,27 +105,27 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(3, tc.entries, 3*time.Millisecond, 0.01)
 			r.limit(tc.limit)
-			go r.callers(4*tc.limit, 200*time.Second)
+			go r.generateLoad(4*tc.limit, 200*time.Second)
 			time.Sleep(201 * time.Second)
 			all := r.all()
-			loudest := served(all[:1])
-			quiet := served(all[tc.entries/2:])
-			t.Logf("%d entries: %.2f of the requests at the one with most, %.2f at the half with least", tc.entries, loudest, quiet)
-			if quiet < loudest*3/4 || loudest < quiet*3/4 {
-				t.Errorf("%d entries: %.2f of the requests are served at the one with most, %.2f at the half with least; want about as many", tc.entries, loudest, quiet)
+			busiest := servedShare(all[:1])
+			others := servedShare(all[tc.entries/2:])
+			t.Logf("%d entries: %.2f of the requests at the one with most, %.2f at the half with least", tc.entries, busiest, others)
+			if others < busiest*3/4 || busiest < others*3/4 {
+				t.Errorf("%d entries: %.2f of the requests are served at the one with most, %.2f at the half with least; want about as many", tc.entries, busiest, others)
 			}
 			r.stop()
 		})
 	}
 }
 
-// served is the part of the requests of some entries that had a permit.
-func served(entries []*rigEntry) float64 {
-	asked, served := 0, 0
+// servedShare returns the share of the entries' requests that got a permit.
+func servedShare(entries []*rigEntry) float64 {
+	requested, served := 0, 0
 	for _, e := range entries {
 		e.rig.mu.Lock()
-		asked, served = asked+e.asked, served+e.served
+		requested, served = requested+e.requested, served+e.served
 		e.rig.mu.Unlock()
 	}
-	return float64(served) / float64(max(asked, 1))
+	return float64(served) / float64(max(requested, 1))
 }
--- a/internal/limits/word.go
+++ b/internal/limits/word.go
@@ -7,66 +7,70 @@
 )
 
 const (
-	// tellLeast is the least time for which all others are told of a change: some messages
-	// to each, of which most may be lost.
-	tellLeast = 3 * time.Second
-	// tellRounds is the number of the times within which all are told that news lasts at
-	// least: with hundreds of entries messages are a second apart.
-	tellRounds = 4
-	// mostTold bounds the limits in one message, some 2 KB.
-	mostTold = 64
+	// minAnnounceTime is the least time for which a change is sent to all entries. It covers
+	// several messages to each, of which most may be lost.
+	minAnnounceTime = 3 * time.Second
+	// announceRounds is the least number of times Others.Told for which a change is sent. With
+	// hundreds of entries, messages are a second apart.
+	announceRounds = 4
+	// maxObservations bounds the observations in one message to about 2 KB.
+	maxObservations = 64
 )
 
-// Word is what an entry read itself in the answers of a start of an upstream.
-type Word struct {
+// Observation is what an entry read itself in the answers of an upstream start.
+type Observation struct {
 	Start string
-	// Rate is what it named last, in requests a second, and Named when; zero for never.
-	Rate  float64
-	Named time.Time
-	// Over is when it was last known to have no limit; zero for never.
-	Over time.Time
+	// Rate is the latest advertised limit in requests a second, and AdvertisedAt when it was read;
+	// zero for never.
+	Rate         float64
+	AdvertisedAt time.Time
+	// NoLimitAt is when the start is last known to have had no limit; zero for never.
+	NoLimitAt time.Time
 }
 
-// news makes the latest changes known to all others. It needs the lock.
-func (s *Set) news() {
-	s.newsUntil = s.now().Add(max(tellLeast, tellRounds*s.others.Told()))
+// announce sends the latest changes to all other entries. The caller must hold s.mu.
+func (s *Set) announce() {
+	s.announceUntil = s.now().Add(max(minAnnounceTime, announceRounds*s.others.Told()))
 	s.others.Urge()
 }
 
-// words returns what this entry read itself, the latest first. It needs the lock.
-func (s *Set) words() []wireWord {
-	var words []Word
+// observations returns the most recent observations of this entry, the latest first. The caller
+// must hold s.mu.
+func (s *Set) observations() []wireObservation {
+	var list []Observation
 	for start, l := range s.limits {
-		if l.own.Named.IsZero() && l.own.Over.IsZero() {
+		if l.observed.AdvertisedAt.IsZero() && l.observed.NoLimitAt.IsZero() {
 			continue
 		}
-		w := l.own
+		w := l.observed
 		w.Start = start
-		words = append(words, w)
+		list = append(list, w)
 	}
-	slices.SortFunc(words, func(a, b Word) int { return cmp.Or(b.latest().Compare(a.latest()), cmp.Compare(a.Start, b.Start)) })
+	slices.SortFunc(list, func(a, b Observation) int {
+		return cmp.Or(b.latest().Compare(a.latest()), cmp.Compare(a.Start, b.Start))
+	})
 	now := s.now()
-	out := make([]wireWord, 0, min(len(words), mostTold))
-	for _, w := range words[:min(len(words), mostTold)] {
-		out = append(out, encodeWord(w, now))
+	out := make([]wireObservation, 0, min(len(list), maxObservations))
+	for _, w := range list[:min(len(list), maxObservations)] {
+		out = append(out, encodeObservation(w, now))
 	}
 	return out
 }
 
-// latest is when the word was true last.
-func (w Word) latest() time.Time {
-	if w.Over.After(w.Named) {
-		return w.Over
+// latest returns the later of both times.
+func (w Observation) latest() time.Time {
+	if w.NoLimitAt.After(w.AdvertisedAt) {
+		return w.NoLimitAt
 	}
-	return w.Named
+	return w.AdvertisedAt
 }
 
-// hear takes over what an entry read or believes. It needs the lock.
-func (s *Set) hear(from string, w Word) {
-	if !w.Named.IsZero() {
-		s.named(w.Start, w.Rate, w.Named, from)
+// merge applies an observation of another entry. The caller must hold s.mu.
+func (s *Set) merge(from string, w Observation) {
+	if !w.AdvertisedAt.IsZero() {
+		s.noteAdvertised(w.Start, w.Rate, w.AdvertisedAt, from)
 	}
-	if !w.Over.IsZero() {
-		s.over(w.Start, w.Over, from)
+	if !w.NoLimitAt.IsZero() {
+		s.noteNoLimit(w.Start, w.NoLimitAt, from)
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -238,23 +238,23 @@
 
 # What limited upstreams take.
 limits=internal/limits
-mutant limits-part $limits/grant.go 's/if 2\*heard > s\.listed \{/if true {/' $limits TestBothSidesOfACut
-mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestGrantingBegins
-mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(word\.Start, l\) != s\.name:/case s.granterOf(word.Start, l) == "":/' $limits TestAnswers
-mutant limits-asked-twice $limits/grant.go 's/if !again \{/if _ = again; true {/' $limits TestAnswers
-mutant limits-leaves $limits/grant.go 's/s\.leaves && i == 0 \|\| /i < 0 || /' $limits TestGranterStops
-mutant limits-least $limits/grant.go 's/max\(l\.rate\*s\.part\(\), leastRate\)/l.rate * s.part()/' $limits TestWhatIsGranted
-mutant limits-not-listed $limits/grant.go 's/\tif s\.listed == 0 \{\n\t\treturn 0\n\t\}\n//' $limits TestWhatIsGranted
+mutant limits-part $limits/grant.go 's/if 2\*heard > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
+mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
+mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(observed\.Start, l\) != s\.name:/case s.granterOf(observed.Start, l) == "":/' $limits TestAnswers
+mutant limits-asked-twice $limits/grant.go 's/if !repeated \{/if _ = repeated; true {/' $limits TestAnswers
+mutant limits-leaves $limits/grant.go 's/s\.stopping && i == 0 \|\| /i < 0 || /' $limits TestStoppingGranterHandsOver
+mutant limits-least $limits/grant.go 's/max\(l\.rate\*s\.share\(\), minGrantRate\)/l.rate * s.share()/' $limits TestGrantedRate
+mutant limits-not-listed $limits/grant.go 's/\tif s\.entryCount == 0 \{\n\t\treturn 0\n\t\}\n//' $limits TestGrantedRate
 mutant limits-order $limits/grant.go 's/return mix\(h\.Sum64\(\)\)/return h.Sum64()/' $limits TestGrantersAreSpread
 mutant limits-closed $limits/permit.go 's/if now\.Before\(l\.closedUntil\) \{/if now.IsZero() {/' $limits TestNoAnswer
-mutant limits-late-head $limits/limits.go 's/s\.over\(start, asked, ownAnswer\)/s.over(start, s.now(), ownAnswer)/' $limits TestLimitInForce
-mutant limits-most $limits/limits.go 's/full := len\(s\.limits\) >= mostLimits/full := false/' $limits TestLimitsAreBounded
-mutant limits-old-word $limits/message.go 's/out\.Over = ago\(sent/out.Over = ago(now/' $limits TestWords
-mutant limits-settled $limits/peers.go 's/ \|\| !p\.knows \|\| p\.asks//' $limits TestEntryThatStartsAnewAgreesWhoGrants
-mutant limits-asks $limits/peers.go 's/ \|\| p\.asks//' internal/gossip TestWhoIsToldOfLimits
-mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestWhoMayGrant
+mutant limits-late-head $limits/limits.go 's/s\.noteNoLimit\(start, sent, ownAnswer\)/s.noteNoLimit(start, s.now(), ownAnswer)/' $limits TestLimitInForce
+mutant limits-most $limits/limits.go 's/full := len\(s\.limits\) >= maxLimits/full := false/' $limits TestLimitsAreBounded
+mutant limits-old-word $limits/message.go 's/out\.NoLimitAt = timeAtAge\(sent/out.NoLimitAt = timeAtAge(now/' $limits TestDecodeObservation
+mutant limits-settled $limits/peers.go 's/ \|\| !p\.acknowledged \|\| p\.wantsAck//' $limits TestRestartedEntryAgreesOnTheGranter
+mutant limits-asks $limits/peers.go 's/ \|\| p\.wantsAck//' internal/gossip TestWhoIsToldOfLimits
+mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestGranterCandidates
 mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= silence//; s/silence, now := n\.silence\(\), n\.now\(\)/_ = n.silence()/' internal/gossip TestHeard
-mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestWhoMayGrant
+mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestGranterCandidates
 mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestWhenLimitsWereTold
 mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestUpstreamGetsWhatItTakes
 mutant limits-copy $gateway/continue.go 's/if err := s\.g\.await\(ctx, held\.at\.ID, s\.g\.now\(\)\.Add\(goOnWithin\)\); err != nil/if err := ctx.Err(); err != nil/' $gateway TestMovedGenerationNeedsAPermit
