--- a/internal/sidecar/callbook.go
+++ b/internal/sidecar/callbook.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Outcome is what is known of a call that may not be repeated.
+// Outcome is what is known about whether a call that may not be repeated has run.
 type Outcome string
 
-// The outcomes. NotRun is final: the call can never run after it was said.
+// The outcomes. NotRun is final: a call that was reported as NotRun never runs later.
 const (
 	NotRun  Outcome = "not-run"
 	Done    Outcome = "done"
 	Unknown Outcome = "unknown"
 )
 
-// answer is what the upstream said to a call.
+// answer is the upstream's HTTP response to a call.
 type answer struct {
 	status int
 	header http.Header
@@ -32,136 +32,137 @@
 	callTombstone
 )
 
-// call is one entry of the book.
+// call is the record of one call.
 type call struct {
-	state  callState
-	kept   *answer
-	forget time.Time
-	// over is closed when a started call is done or lost.
-	over chan struct{}
+	state     callState
+	answer    *answer
+	expiresAt time.Time
+	// finished is closed when a started call is done, lost or known not to have run.
+	finished chan struct{}
 }
 
-// verdict says what may be done with a call that arrives.
-type verdict int
+// disposition says what to do with a call that arrives.
+type disposition int
 
 const (
-	verdictRun verdict = iota + 1
-	verdictWait
-	verdictDone
-	verdictNotRun
-	verdictUnknown
+	dispositionRun disposition = iota + 1
+	dispositionWait
+	dispositionDone
+	dispositionNotRun
+	dispositionUnknown
 )
 
-// callBook is the record of one incarnation: which calls it started, finished
-// or barred. Nothing leaves it before the window in which an identifier is
-// accepted has passed.
-type callBook struct {
+// callRegistry records which calls this incarnation has started, finished or barred with a
+// tombstone. A record is kept at least for the window in which its identifier is accepted, so that
+// a repeated call is always recognized.
+type callRegistry struct {
 	now    func() time.Time
 	window time.Duration
 
 	mu    sync.Mutex
 	calls map[string]*call
-	// kept is the number of bytes of answers held, at most keptLimit.
-	kept      int
-	keptLimit int
-	swept     time.Time
+	// keptBytes is the total size of the kept answers, at most maxKeptBytes.
+	keptBytes    int
+	maxKeptBytes int
+	lastSweep    time.Time
 }
 
-func newCallBook(window time.Duration, keptLimit int, now func() time.Time) *callBook {
-	return &callBook{now: now, window: window, calls: map[string]*call{}, keptLimit: keptLimit, swept: now()}
+func newCallRegistry(window time.Duration, maxKeptBytes int, now func() time.Time) *callRegistry {
+	return &callRegistry{now: now, window: window, calls: map[string]*call{},
+		maxKeptBytes: maxKeptBytes, lastSweep: now()}
 }
 
-// begin records id as started, unless it is known already. Recording and
-// judging are one step, so two copies can never both get verdictRun.
-func (b *callBook) begin(id string) (verdict, *call) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sweep()
-	c, ok := b.calls[id]
+// begin records id as started unless it has a record. The check and the record are one step under
+// the lock, so only one of two copies of a call gets dispositionRun.
+func (r *callRegistry) begin(id string) (disposition, *call) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sweep()
+	c, ok := r.calls[id]
 	if !ok {
-		c = &call{state: callStarted, forget: b.now().Add(b.window), over: make(chan struct{})}
-		b.calls[id] = c
-		return verdictRun, c
+		c = &call{state: callStarted, expiresAt: r.now().Add(r.window), finished: make(chan struct{})}
+		r.calls[id] = c
+		return dispositionRun, c
 	}
-	return c.verdict(), c
+	return c.disposition(), c
 }
 
-func (c *call) verdict() verdict {
+func (c *call) disposition() disposition {
 	switch c.state {
 	case callStarted:
-		return verdictWait
+		return dispositionWait
 	case callDone:
-		return verdictDone
+		return dispositionDone
 	case callTombstone:
-		return verdictNotRun
+		return dispositionNotRun
 	default:
-		return verdictUnknown
+		return dispositionUnknown
 	}
 }
 
-// bar makes sure that id never runs here if it has not started, and returns
-// what is known of it.
-func (b *callBook) bar(id string) (verdict, *call) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sweep()
-	c, ok := b.calls[id]
+// addTombstone keeps id from ever running here if it has no record, and returns its record.
+func (r *callRegistry) addTombstone(id string) (disposition, *call) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sweep()
+	c, ok := r.calls[id]
 	if !ok {
-		c = &call{state: callTombstone, forget: b.now().Add(b.window)}
-		b.calls[id] = c
+		c = &call{state: callTombstone, expiresAt: r.now().Add(r.window)}
+		r.calls[id] = c
 	}
-	return c.verdict(), c
+	return c.disposition(), c
 }
 
-// withdraw turns a started call of which no byte was sent into a tombstone.
-func (b *callBook) withdraw(c *call) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// markNotRun turns a started call of which no byte was sent into a tombstone.
+func (r *callRegistry) markNotRun(c *call) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	c.state = callTombstone
-	close(c.over)
+	close(c.finished)
 }
 
-// finish keeps the upstream's answer.
-func (b *callBook) finish(c *call, a *answer) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// markDone records that the call is done, and keeps the upstream's answer if there is room for it.
+func (r *callRegistry) markDone(c *call, a *answer) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	c.state = callDone
-	if size := len(a.body); b.kept+size <= b.keptLimit {
-		b.kept += size
-		c.kept = a
+	if size := len(a.body); r.keptBytes+size <= r.maxKeptBytes {
+		r.keptBytes += size
+		c.answer = a
 	}
-	close(c.over)
+	close(c.finished)
 }
 
-// lose notes that the upstream's answer never came: the call may have run.
-func (b *callBook) lose(c *call) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// markLost records that the upstream's answer was lost, so that the call may have run.
+func (r *callRegistry) markLost(c *call) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	c.state = callLost
-	close(c.over)
+	close(c.finished)
 }
 
-// answerOf returns the kept answer, or nil if it was too large to keep.
-func (b *callBook) answerOf(c *call) *answer {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return c.kept
+// keptAnswer returns the answer, or nil if there was no room to keep it.
+func (r *callRegistry) keptAnswer(c *call) *answer {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return c.answer
 }
 
 const sweepPeriod = time.Minute
 
-func (b *callBook) sweep() {
-	now := b.now()
-	if now.Sub(b.swept) < sweepPeriod {
+// sweep deletes expired records, at most once per sweepPeriod. Calls in flight keep their record.
+func (r *callRegistry) sweep() {
+	now := r.now()
+	if now.Sub(r.lastSweep) < sweepPeriod {
 		return
 	}
-	b.swept = now
-	for id, c := range b.calls {
-		if now.After(c.forget) && c.state != callStarted {
-			if c.kept != nil {
-				b.kept -= len(c.kept.body)
+	r.lastSweep = now
+	for id, c := range r.calls {
+		if now.After(c.expiresAt) && c.state != callStarted {
+			if c.answer != nil {
+				r.keptBytes -= len(c.answer.body)
 			}
-			delete(b.calls, id)
+			delete(r.calls, id)
 		}
 	}
 }
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -18,24 +18,24 @@
 	"github.com/sparshore/sparshore/internal/peer"
 )
 
-// serviceLink speaks HTTP to a plain service.
+// serviceLink is the HTTP client of a plain service.
 type serviceLink struct {
 	base   string
 	client *http.Client
 	fence  func() int64
-	// heard gets the heads of answers: when each was asked for, and whether it came whole and
-	// is no failure.
-	heard func(h http.Header, asked time.Time, whole bool)
-	// noticed, if set, gets the head of each answer as soon as it has come.
-	noticed func(status int, h http.Header)
+	// onAnswer gets the header of an answer after its body was read. sentAt is when its request was
+	// sent; ok reports that the answer was read whole and its status is below 500.
+	onAnswer func(h http.Header, sentAt time.Time, ok bool)
+	// onHeader, if set, gets status and header of each answer as soon as they arrive.
+	onHeader func(status int, h http.Header)
 }
 
 func newServiceLink(base string, fence func() int64) *serviceLink {
-	// Every call gets a connection of its own. A kept one may have been closed
-	// by the service, and whether the call got through would stay unknown;
-	// besides, the transport repeats some requests on kept connections.
+	// Every call gets its own connection. The service may have closed a kept-alive connection, and
+	// then it is unknown whether the call got through. Besides, the transport repeats some requests
+	// on kept-alive connections.
 	transport := &http.Transport{DisableKeepAlives: true}
-	return &serviceLink{base: strings.TrimSuffix(base, "/"), client: &http.Client{Transport: transport}, fence: fence, heard: hearsNothing}
+	return &serviceLink{base: strings.TrimSuffix(base, "/"), client: &http.Client{Transport: transport}, fence: fence, onAnswer: ignoreAnswer}
 }
 
 // maxAnswer bounds in bytes the answers that are read.
@@ -44,28 +44,29 @@
 // errNotSent is wrapped when no byte can have reached the service.
 var errNotSent = errors.New("not sent")
 
-// errAnswerTooLong is for an answer that is longer than is read.
+// errAnswerTooLong is wrapped for an answer of more than maxAnswer bytes.
 var errAnswerTooLong = errors.New("answer is too long")
 
-// lateWithin is how long after the end of a call's time its answer may still be read, counted from
-// when this process notices the end: it and an answer that has come are due at once in one that
-// did not get to run.
-const lateWithin = 50 * time.Millisecond
+// lateAnswerGrace is how long after a call's timeout its answer may still be read, counted from
+// when this process notices the timeout. In a process that was not scheduled for a while, the
+// timeout and an answer that arrived in time become ready together, and the answer must not be
+// lost.
+const lateAnswerGrace = 50 * time.Millisecond
 
-// outlast returns a context that ends lateWithin after ctx.
-func outlast(ctx context.Context) (context.Context, context.CancelFunc) {
+// withLateAnswerGrace returns a context that ends lateAnswerGrace after ctx.
+func withLateAnswerGrace(ctx context.Context) (context.Context, context.CancelFunc) {
 	longer, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	unhook := context.AfterFunc(ctx, func() { time.AfterFunc(lateWithin, cancel) })
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(lateAnswerGrace, cancel) })
 	return longer, func() {
-		unhook()
+		stop()
 		cancel()
 	}
 }
 
-// do sends a call and reads its whole answer. errNotSent is wrapped when nothing was sent, and
-// errAnswerTooLong when the answer is longer than is read.
+// do sends a call and reads its whole answer. The error wraps errNotSent when nothing was sent, and
+// errAnswerTooLong when the answer is too long.
 func (l *serviceLink) do(ctx context.Context, p invokeParams) (*answer, error) {
-	ctx, cancel := outlast(ctx)
+	ctx, cancel := withLateAnswerGrace(ctx)
 	defer cancel()
 	body := io.NopCloser(bytes.NewReader(p.Body))
 	r, err := http.NewRequestWithContext(ctx, p.Method, l.base+p.Path, body)
@@ -79,17 +80,17 @@
 	}
 	r.Header.Set("X-Request-Id", p.ID)
 	r.Header.Set("X-Fencing-Token", strconv.FormatInt(l.fence(), 10))
-	asked := time.Now()
+	sentAt := time.Now()
 	resp, err := l.client.Do(r)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if l.noticed != nil {
-		l.noticed(resp.StatusCode, resp.Header)
+	if l.onHeader != nil {
+		l.onHeader(resp.StatusCode, resp.Header)
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
-	l.heard(resp.Header, asked, err == nil && resp.StatusCode < http.StatusInternalServerError)
+	l.onAnswer(resp.Header, sentAt, err == nil && resp.StatusCode < http.StatusInternalServerError)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +107,7 @@
 	}
 	var res invokeResult
 	switch {
-	case s.behind(c, p.Version) && p.Repeatable:
+	case s.configBehind(c, p.Version) && p.Repeatable:
 		res = invokeResult{Outcome: NotRun, Reason: reasonBehind}
 	case p.Repeatable:
 		res = s.runRepeatable(ctx, p)
@@ -114,7 +115,7 @@
 		res = s.runOnce(ctx, p)
 	}
 	res.Stamp = s.rec.Now()
-	s.met.calls.WithLabelValues(string(res.Outcome)).Inc()
+	s.metrics.calls.WithLabelValues(string(res.Outcome)).Inc()
 	return res, nil
 }
 
@@ -124,31 +125,32 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.settings.CallTimeout)
 	defer cancel()
-	if opensAt, ok := s.takes.take(ctx); !ok {
-		return s.beyond(opensAt)
+	if opensAt, ok := s.limiter.takePermit(ctx); !ok {
+		return s.notRunRateLimited(opensAt)
 	}
 	sentAt := time.Now()
 	a, err := s.service.do(ctx, p)
 	if err != nil {
-		return invokeResult{Outcome: Unknown, Reason: err.Error(), EndedWith: s.endedUnder(ctx, sentAt, err)}
+		return invokeResult{Outcome: Unknown, Reason: err.Error(), EndedWith: s.endedDuring(ctx, sentAt, err)}
 	}
-	s.starts.answered()
+	s.incarnations.markUp()
 	return doneResult(a)
 }
 
-// beyond is the result of a call beyond what the service takes, which was not run.
-func (s *Server) beyond(opensAt time.Time) invokeResult {
+// notRunRateLimited is the result of a call that was not run because the service accepts no more
+// calls before opensAt.
+func (s *Server) notRunRateLimited(opensAt time.Time) invokeResult {
 	load := s.Load()
-	return invokeResult{Outcome: NotRun, Reason: takesNoMore, RetryAt: opensAt.UnixMilli(), Load: &load}
+	return invokeResult{Outcome: NotRun, Reason: reasonRateLimited, RetryAt: opensAt.UnixMilli(), Load: &load}
 }
 
-// endedUnder returns the start of the service that ended under a call that was sent at a time and
-// got no answer, empty if none did.
-func (s *Server) endedUnder(ctx context.Context, sentAt time.Time, err error) string {
+// endedDuring returns the incarnation of the service that ended while it ran a call that was sent
+// at sentAt and got no answer; empty if none did.
+func (s *Server) endedDuring(ctx context.Context, sentAt time.Time, err error) string {
 	if errors.Is(err, errNotSent) || refusedConnection(err) || ctx.Err() != nil {
 		return ""
 	}
-	return s.starts.endedUnder(ctx, sentAt)
+	return s.incarnations.endedDuring(ctx, sentAt)
 }
 
 func doneResult(a *answer) invokeResult {
@@ -158,92 +160,93 @@
 	return invokeResult{Outcome: Done, Status: a.status, Header: a.header, Body: a.body}
 }
 
-// runOnce runs a call at most once. The order matters: what is known of the
-// identifier comes first, then whether this incarnation may run it at all,
-// then the record, then the last look at lease and deadline, then the send.
+// runOnce runs a call at most once. The order of its steps matters: look up the record of the
+// identifier, check whether this incarnation may run it at all, record the start, check lease and
+// deadline once more, send.
 func (s *Server) runOnce(ctx context.Context, p invokeParams) invokeResult {
-	id, err := callid.Parse(p.keyPart())
+	id, err := callid.Parse(p.callerKey())
 	if err != nil {
 		return invokeResult{Outcome: NotRun, Reason: err.Error()}
 	}
-	if v, c, known := s.known(p.ID); known {
-		return s.wait(ctx, v, c)
+	if v, c, known := s.lookupCall(p.ID); known {
+		return s.awaitCall(ctx, v, c)
 	}
 	if res, ok := s.mayRun(id, p.Pool, p.Version); !ok {
 		s.rec.Note(events.CallRefused, p.Request, "call", p.ID, "outcome", res.Outcome, "reason", res.Reason)
 		return res
 	}
 	if s.draining.Load() {
-		return s.settleUnstarted(p.ID, "leaving")
+		return s.settleAsNotRun(p.ID, "leaving")
 	}
-	v, c := s.book.begin(p.ID)
-	if v != verdictRun {
-		return s.wait(ctx, v, c)
+	v, c := s.registry.begin(p.ID)
+	if v != dispositionRun {
+		return s.awaitCall(ctx, v, c)
 	}
 	s.rec.Note(events.CallStarted, p.Request, "call", p.ID)
 	return s.send(ctx, id, p, c)
 }
 
-// keyPart is the identifier as the caller gave it: the record's identifier
-// without the account it is kept apart by.
-func (p invokeParams) keyPart() string { return keyPart(p.ID) }
+// callerKey returns the call's identifier as the caller or entry gave it, without the account
+// prefix that keeps the identifiers of different accounts apart.
+func (p invokeParams) callerKey() string { return callerKeyOf(p.ID) }
 
-func keyPart(id string) string {
+func callerKeyOf(id string) string {
 	_, key, _ := strings.Cut(id, "/")
 	return key
 }
 
-// settleUnstarted bars the identifier and says that it was not run.
-func (s *Server) settleUnstarted(id, reason string) invokeResult {
-	v, c := s.book.bar(id)
-	res := s.told(v, c)
+// settleAsNotRun adds a tombstone for the identifier and returns that the call was not run, unless
+// the identifier has a record that says otherwise.
+func (s *Server) settleAsNotRun(id, reason string) invokeResult {
+	v, c := s.registry.addTombstone(id)
+	res := s.resultOf(v, c)
 	if res.Outcome == NotRun {
 		res.Reason = reason
 	}
 	return res
 }
 
-func (s *Server) known(id string) (verdict, *call, bool) {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	c, ok := s.book.calls[id]
+func (s *Server) lookupCall(id string) (disposition, *call, bool) {
+	s.registry.mu.Lock()
+	defer s.registry.mu.Unlock()
+	c, ok := s.registry.calls[id]
 	if !ok {
 		return 0, nil, false
 	}
-	return c.verdict(), c, true
+	return c.disposition(), c, true
 }
 
-// wait answers for a call that is known already; one in flight is waited for.
-func (s *Server) wait(ctx context.Context, v verdict, c *call) invokeResult {
-	if v != verdictWait {
-		return s.told(v, c)
+// awaitCall returns the result of a call that has a record. It waits for a call that is in flight.
+func (s *Server) awaitCall(ctx context.Context, v disposition, c *call) invokeResult {
+	if v != dispositionWait {
+		return s.resultOf(v, c)
 	}
 	select {
-	case <-c.over:
+	case <-c.finished:
 	case <-ctx.Done():
 		return invokeResult{Outcome: Unknown, Reason: "still running"}
 	}
-	s.book.mu.Lock()
-	v = c.verdict()
-	s.book.mu.Unlock()
-	return s.told(v, c)
+	s.registry.mu.Lock()
+	v = c.disposition()
+	s.registry.mu.Unlock()
+	return s.resultOf(v, c)
 }
 
-func (s *Server) told(v verdict, c *call) invokeResult {
+func (s *Server) resultOf(v disposition, c *call) invokeResult {
 	switch v {
-	case verdictDone:
-		return doneResult(s.book.answerOf(c))
-	case verdictNotRun:
+	case dispositionDone:
+		return doneResult(s.registry.keptAnswer(c))
+	case dispositionNotRun:
 		return invokeResult{Outcome: NotRun, Reason: "barred by an earlier question or refusal"}
-	case verdictWait:
+	case dispositionWait:
 		return invokeResult{Outcome: Unknown, Reason: "still running"}
 	default:
 		return invokeResult{Outcome: Unknown, Reason: "the upstream's answer was lost"}
 	}
 }
 
-// mayRun says whether this incarnation may run the identifier, that is,
-// whether no other one can have run it or still run it.
+// mayRun reports whether this incarnation may run the identifier, that is, whether no other upstream
+// or incarnation can have run it or still run it.
 func (s *Server) mayRun(id callid.ID, pool string, v config.Version) (invokeResult, bool) {
 	if id.Ticket() {
 		return s.mayRunTicket(id)
@@ -270,11 +273,11 @@
 	if !s.lease.Valid() {
 		return unknown("no lease")
 	}
-	safeFrom := s.safeFrom(active)
+	exclusiveSince := s.exclusiveSince(active)
 	now := s.now()
 	issued, dated := id.Issued()
 	switch {
-	case !dated && now.After(safeFrom.Add(s.settings.CallWindow)):
+	case !dated && now.After(exclusiveSince.Add(s.settings.CallWindow)):
 		return invokeResult{}, true
 	case !dated:
 		return unknown("key without time of issue, and an earlier incarnation may have run it")
@@ -282,68 +285,68 @@
 		return unknown("key from the future")
 	case issued.Before(now.Add(-s.settings.CallWindow).Add(s.settings.Skew)):
 		return unknown("key is older than the window")
-	case issued.Before(safeFrom.Add(s.settings.Skew)):
+	case issued.Before(exclusiveSince.Add(s.settings.Skew)):
 		return unknown("key is older than this incarnation's time as home")
 	default:
 		return invokeResult{}, true
 	}
 }
 
-// safeFrom is the time from which no other upstream or incarnation can have
-// been the home of a key that has its home here.
-func (s *Server) safeFrom(active *config.Active) time.Time {
-	var from time.Time
+// exclusiveSince returns the time since which no other upstream or incarnation can have been the
+// home of a key whose home is this upstream.
+func (s *Server) exclusiveSince(active *config.Active) time.Time {
+	var since time.Time
 	if !s.lease.First() {
-		from = s.lease.Since()
+		since = s.lease.Since()
 	}
-	if active.HomesSince().After(from) {
+	if active.HomesSince().After(since) {
 		return active.HomesSince()
 	}
-	return from
+	return since
 }
 
-// permitBy is until when a call that only this sidecar may run waits for a permit.
-func (s *Server) permitBy(p invokeParams) time.Time {
-	by := s.now().Add(permitWithin)
-	if startBy := time.UnixMilli(p.StartBy); p.StartBy > 0 && startBy.Before(by) {
+// permitDeadline returns until when a call that only this upstream may run waits for a permit.
+func (s *Server) permitDeadline(p invokeParams) time.Time {
+	deadline := s.now().Add(maxPermitWait)
+	if startBy := time.UnixMilli(p.StartBy); p.StartBy > 0 && startBy.Before(deadline) {
 		return startBy
 	}
-	return by
+	return deadline
 }
 
-// send does the call. Lease and deadline are looked at again right before: the
-// process may have been stopped since it recorded the start. What cannot be
-// closed is a stop between this look and the kernel's send; see docs/PROOFS.md.
+// send sends the call. It checks lease and deadline again right before, since the process may have
+// been paused after it recorded the start. A pause between this check and the kernel's send cannot
+// be excluded; see docs/PROOFS.md.
 func (s *Server) send(ctx context.Context, id callid.ID, p invokeParams, c *call) invokeResult {
-	if opensAt, ok := s.takes.await(ctx, s.permitBy(p)); !ok {
-		s.book.withdraw(c)
-		return s.beyond(opensAt)
+	if opensAt, ok := s.limiter.awaitPermit(ctx, s.permitDeadline(p)); !ok {
+		s.registry.markNotRun(c)
+		return s.notRunRateLimited(opensAt)
 	}
 	if p.StartBy > 0 && s.now().UnixMilli() >= p.StartBy {
-		s.book.withdraw(c)
+		s.registry.markNotRun(c)
 		return invokeResult{Outcome: NotRun, Reason: "deadline has passed"}
 	}
 	if !id.Ticket() && !s.lease.Valid() {
-		s.book.withdraw(c)
+		s.registry.markNotRun(c)
 		return invokeResult{Outcome: Unknown, Reason: "lease ran out before the send"}
 	}
-	// A caller that goes away does not take the call back.
+	// A caller that disconnects does not cancel the call.
 	sendCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.settings.CallTimeout)
 	defer cancel()
 	sentAt := time.Now()
 	a, err := s.service.do(sendCtx, p)
 	switch {
 	case err == nil:
-		s.starts.answered()
-		s.book.finish(c, a)
+		s.incarnations.markUp()
+		s.registry.markDone(c, a)
 		s.rec.Note(events.CallDone, p.Request, "call", p.ID, "status", a.status)
 		return doneResult(a)
 	case errors.Is(err, errNotSent) || refusedConnection(err):
-		s.book.withdraw(c)
+		s.registry.markNotRun(c)
 		return invokeResult{Outcome: NotRun, Reason: "upstream not reachable"}
 	default:
-		s.book.lose(c)
-		return invokeResult{Outcome: Unknown, Reason: "the upstream's answer was lost", EndedWith: s.endedUnder(sendCtx, sentAt, err)}
+		s.registry.markLost(c)
+		return invokeResult{Outcome: Unknown, Reason: "the upstream's answer was lost", EndedWith: s.endedDuring(sendCtx, sentAt, err)}
 	}
 }
 
@@ -352,25 +355,24 @@
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, fmt.Errorf("%w: settle: %v", errParams, err)
 	}
-	res := s.settled(p)
+	res := s.settleCall(p)
 	res.Stamp = s.rec.Now()
 	s.rec.Note(events.CallSettled, p.Request, "call", p.ID, "outcome", res.Outcome)
 	return res, nil
 }
 
-// settled answers a question about a call. Only where this incarnation is the
-// one place that could have run it does absence prove that it was not run, and
-// then a tombstone keeps it from running later.
-func (s *Server) settled(p settleParams) invokeResult {
-	if v, c, known := s.known(p.ID); known {
-		return s.told(v, c)
-	}
-	id, err := callid.Parse(keyPart(p.ID))
+// settleCall returns what became of a call. A missing record proves that the call was not run only
+// if no other upstream or incarnation can have run it. A tombstone then keeps it from running later.
+func (s *Server) settleCall(p settleParams) invokeResult {
+	if v, c, known := s.lookupCall(p.ID); known {
+		return s.resultOf(v, c)
+	}
+	id, err := callid.Parse(callerKeyOf(p.ID))
 	if err != nil {
 		return invokeResult{Outcome: NotRun, Reason: err.Error()}
 	}
 	if res, ok := s.mayRun(id, p.Pool, p.Version); !ok {
 		return res
 	}
-	return s.settleUnstarted(p.ID, "never arrived")
+	return s.settleAsNotRun(p.ID, "never arrived")
 }
--- a/internal/sidecar/calls_test.go
+++ b/internal/sidecar/calls_test.go
@@ -18,8 +18,8 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// tableOf is a table that holds one row.
-func tableOf(row *platform.Row) *platform.Table {
+// oneRowTable returns a table that holds only row.
+func oneRowTable(row *platform.Row) *platform.Table {
 	return &platform.Table{
 		Get: func(context.Context, platform.Key) (platform.Row, error) {
 			if row.Revision == 0 {
@@ -34,19 +34,22 @@
 	}
 }
 
-const oneService = "pools: [{name: p, kind: service, upstreams: [{name: u, zone: a}]}]\nmodels: []\naccounts: []\n"
+const oneServiceConfig = "pools: [{name: p, kind: service, upstreams: [{name: u, zone: a}]}]\nmodels: []\naccounts: []\n"
 
-// bench is a sidecar with its clock, lease and service in the test's hands.
-type bench struct {
+// callFixture is a sidecar in front of a plain service that counts its runs. The test sets the
+// clock and the active configuration.
+type callFixture struct {
 	*Server
 	clock  time.Time
 	active *config.Active
 	runs   int
 }
 
-func newBench(t *testing.T, predecessor bool) *bench {
+// newCallFixture returns a fixture with a valid lease. With predecessor, another incarnation has
+// held the lease an hour earlier.
+func newCallFixture(t *testing.T, predecessor bool) *callFixture {
 	t.Helper()
-	b := &bench{clock: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+	b := &callFixture{clock: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		b.runs++
 		_, _ = w.Write([]byte("ok"))
@@ -55,17 +58,17 @@
 	now := func() time.Time { return b.clock }
 	row := &platform.Row{}
 	if predecessor {
-		old := lease.New(tableOf(row), "u", "old", lease.Settings{Term: time.Minute}, now)
+		old := lease.New(oneRowTable(row), "u", "old", lease.Settings{Term: time.Minute}, now)
 		if err := old.Renew(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		b.clock = b.clock.Add(time.Hour)
 	}
-	l := lease.New(tableOf(row), "u", "i", lease.Settings{Term: time.Hour, Skew: time.Second}, now)
+	l := lease.New(oneRowTable(row), "u", "i", lease.Settings{Term: time.Hour, Skew: time.Second}, now)
 	if err := l.Renew(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse("t", []byte(oneService))
+	cfg, err := config.Parse("t", []byte(oneServiceConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,13 +80,14 @@
 	return b
 }
 
-func (b *bench) file(t *testing.T, key string) invokeResult {
+// runKey runs a call that may not be repeated, with the given key as its identifier.
+func (b *callFixture) runKey(t *testing.T, key string) invokeResult {
 	t.Helper()
 	return b.runOnce(t.Context(), invokeParams{ID: "acct/" + key, Pool: "p", Version: b.active.Version(), Method: http.MethodPost, Path: "/"})
 }
 
-// dated makes a caller's key issued at t.
-func dated(t time.Time) string {
+// keyIssuedAt returns a caller's key that carries t as its time of issue.
+func keyIssuedAt(t time.Time) string {
 	ms := uint64(t.UnixMilli())
 	const hexDigits = "0123456789abcdef"
 	text := []byte("00000000-0000-7000-8000-000000000000")
@@ -93,67 +97,70 @@
 	return string(text)
 }
 
-func TestWhetherAnIncarnationMayRunAKey(t *testing.T) {
+// A key must not run here if another upstream or an earlier incarnation may have run it: it would
+// run twice.
+func TestIncarnationRunsOnlyKeysThatNoOtherCanHaveRun(t *testing.T) {
 	tests := []struct {
 		name        string
 		predecessor bool
-		prepare     func(b *bench)
-		key         func(b *bench) string
+		prepare     func(b *callFixture)
+		key         func(b *callFixture) string
 		want        Outcome
 	}{
-		{name: "first incarnation, no time of issue", key: func(*bench) string { return "k" }, want: Done},
-		{name: "first incarnation, key issued before it", key: func(b *bench) string { return dated(b.clock.Add(-time.Minute)) }, want: Done},
-		{name: "successor, no time of issue", predecessor: true, key: func(*bench) string { return "k" }, want: Unknown},
-		{name: "successor, key issued before it", predecessor: true, key: func(b *bench) string { return dated(b.clock.Add(-time.Minute)) }, want: Unknown},
-		{name: "successor, key issued within the clock bound", predecessor: true, key: func(b *bench) string { return dated(b.clock.Add(500 * time.Millisecond)) }, want: Unknown},
+		{name: "first incarnation, no time of issue", key: func(*callFixture) string { return "k" }, want: Done},
+		{name: "first incarnation, key issued before it", key: func(b *callFixture) string { return keyIssuedAt(b.clock.Add(-time.Minute)) }, want: Done},
+		{name: "successor, no time of issue", predecessor: true, key: func(*callFixture) string { return "k" }, want: Unknown},
+		{name: "successor, key issued before it", predecessor: true, key: func(b *callFixture) string { return keyIssuedAt(b.clock.Add(-time.Minute)) }, want: Unknown},
+		{name: "successor, key issued within the clock skew", predecessor: true, key: func(b *callFixture) string { return keyIssuedAt(b.clock.Add(500 * time.Millisecond)) }, want: Unknown},
 		{
 			name: "successor, key issued after it", predecessor: true, want: Done,
-			prepare: func(b *bench) { b.clock = b.clock.Add(10 * time.Second) },
-			key:     func(b *bench) string { return dated(b.clock.Add(-time.Second)) },
+			prepare: func(b *callFixture) { b.clock = b.clock.Add(10 * time.Second) },
+			key:     func(b *callFixture) string { return keyIssuedAt(b.clock.Add(-time.Second)) },
 		},
 		{
 			name: "successor after the window, no time of issue", predecessor: true, want: Done,
-			prepare: func(b *bench) {
+			prepare: func(b *callFixture) {
 				b.clock = b.clock.Add(25 * time.Hour)
 				_ = b.lease.Renew(context.Background())
 			},
-			key: func(*bench) string { return "k" },
+			key: func(*callFixture) string { return "k" },
 		},
-		{name: "key from the future", key: func(b *bench) string { return dated(b.clock.Add(time.Hour)) }, want: Unknown},
-		{name: "key older than the window", key: func(b *bench) string { return dated(b.clock.Add(-25 * time.Hour)) }, want: Unknown},
+		{name: "key issued in the future", key: func(b *callFixture) string { return keyIssuedAt(b.clock.Add(time.Hour)) }, want: Unknown},
+		{name: "key older than the window", key: func(b *callFixture) string { return keyIssuedAt(b.clock.Add(-25 * time.Hour)) }, want: Unknown},
 		{
-			name: "lease has lapsed", want: Unknown,
-			prepare: func(b *bench) { b.clock = b.clock.Add(2 * time.Hour) },
-			key:     func(b *bench) string { return dated(b.clock) },
+			name: "lease has run out", want: Unknown,
+			prepare: func(b *callFixture) { b.clock = b.clock.Add(2 * time.Hour) },
+			key:     func(b *callFixture) string { return keyIssuedAt(b.clock) },
 		},
 		{
-			name: "homes are changing", want: Unknown,
-			prepare: func(b *bench) { b.active = config.NewActive(b.active.Config(), 2, false, b.clock.AddDate(1000, 0, 0)) },
-			key:     func(b *bench) string { return dated(b.clock) },
+			name: "home upstreams are changing", want: Unknown,
+			prepare: func(b *callFixture) {
+				b.active = config.NewActive(b.active.Config(), 2, false, b.clock.AddDate(1000, 0, 0))
+			},
+			key: func(b *callFixture) string { return keyIssuedAt(b.clock) },
 		},
 		{
-			// Found by reading: the first incarnation of an upstream that was
-			// added later took keys without time of issue, which an earlier
-			// home may have run.
+			// An upstream that is added later becomes the home of keys that an earlier home may
+			// have run. Its first incarnation must not accept keys without a time of issue.
 			name: "first incarnation of a new home, no time of issue", want: Unknown,
-			prepare: func(b *bench) { b.active = config.NewActive(b.active.Config(), 2, true, b.clock) },
-			key:     func(*bench) string { return "k" },
+			prepare: func(b *callFixture) { b.active = config.NewActive(b.active.Config(), 2, true, b.clock) },
+			key:     func(*callFixture) string { return "k" },
 		},
-		{name: "ticket of this incarnation", predecessor: true, key: func(*bench) string { return callid.NewTicket("u", "i").String() }, want: Done},
-		{name: "ticket of another incarnation", key: func(*bench) string { return callid.NewTicket("u", "old").String() }, want: Unknown},
+		{name: "ticket of this incarnation", predecessor: true, key: func(*callFixture) string { return callid.NewTicket("u", "i").String() }, want: Done},
+		{name: "ticket of another incarnation", key: func(*callFixture) string { return callid.NewTicket("u", "old").String() }, want: Unknown},
 		{
 			name: "ticket without a lease", want: Done,
-			prepare: func(b *bench) { b.clock = b.clock.Add(2 * time.Hour) },
-			key:     func(*bench) string { return callid.NewTicket("u", "i").String() },
+			prepare: func(b *callFixture) { b.clock = b.clock.Add(2 * time.Hour) },
+			key:     func(*callFixture) string { return callid.NewTicket("u", "i").String() },
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t, tt.predecessor)
+			b := newCallFixture(t, tt.predecessor)
 			if tt.prepare != nil {
 				tt.prepare(b)
 			}
-			res := b.file(t, tt.key(b))
+			res := b.runKey(t, tt.key(b))
 			if res.Outcome != tt.want {
 				t.Errorf("outcome %s (%s), want %s", res.Outcome, res.Reason, tt.want)
 			}
@@ -164,33 +171,37 @@
 	}
 }
 
-func TestSettleBarsWhatNeverArrived(t *testing.T) {
-	b := newBench(t, false)
+// NotRun is final, so the caller may run the call again. A copy of the settled call that arrives later
+// must not run.
+func TestSettleBarsCallsThatNeverArrived(t *testing.T) {
+	b := newCallFixture(t, false)
 	p := settleParams{ID: "acct/k", Pool: "p", Version: 1}
-	if res := b.settled(p); res.Outcome != NotRun {
+	if res := b.settleCall(p); res.Outcome != NotRun {
 		t.Fatalf("settle: %s (%s)", res.Outcome, res.Reason)
 	}
-	if res := b.file(t, "k"); res.Outcome != NotRun || b.runs != 0 {
+	if res := b.runKey(t, "k"); res.Outcome != NotRun || b.runs != 0 {
 		t.Errorf("late copy: %s, %d runs", res.Outcome, b.runs)
 	}
 }
 
 func TestRepeatedCallGetsTheKeptAnswer(t *testing.T) {
-	b := newBench(t, false)
+	b := newCallFixture(t, false)
 	for range 3 {
-		if res := b.file(t, "k"); res.Outcome != Done || string(res.Body) != "ok" {
+		if res := b.runKey(t, "k"); res.Outcome != Done || string(res.Body) != "ok" {
 			t.Fatalf("answer %s %q", res.Outcome, res.Body)
 		}
 	}
 	if b.runs != 1 {
 		t.Errorf("%d runs", b.runs)
 	}
-	if res := b.settled(settleParams{ID: "acct/k", Pool: "p", Version: 1}); res.Outcome != Done {
+	if res := b.settleCall(settleParams{ID: "acct/k", Pool: "p", Version: 1}); res.Outcome != Done {
 		t.Errorf("settle: %s", res.Outcome)
 	}
 }
 
-func TestDeadlineAndLeaseAreLookedAtRightBeforeTheSend(t *testing.T) {
+// The process may be paused after it has recorded the start of a call. If the deadline passes or
+// the lease runs out meanwhile, the call must not be sent.
+func TestDeadlineAndLeaseAreCheckedRightBeforeTheSend(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		startBy time.Duration
@@ -198,17 +209,17 @@
 		sleep   time.Duration
 		want    Outcome
 	}{
-		{"deadline passed while the process stood still", time.Minute, "k", 2 * time.Minute, NotRun},
-		{"lease lapsed while the process stood still", 3 * time.Hour, "k", 2 * time.Hour, Unknown},
+		{"deadline passes while the process is paused", time.Minute, "k", 2 * time.Minute, NotRun},
+		{"lease runs out while the process is paused", 3 * time.Hour, "k", 2 * time.Hour, Unknown},
 		{"a ticket needs no lease", 3 * time.Hour, callid.NewTicket("u", "i").String(), 2 * time.Hour, Done},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t, false)
+			b := newCallFixture(t, false)
 			id, err := callid.Parse(tt.key)
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, c := b.book.begin("acct/" + tt.key)
+			_, c := b.registry.begin("acct/" + tt.key)
 			startBy := b.clock.Add(tt.startBy)
 			b.clock = b.clock.Add(tt.sleep)
 			res := b.send(t.Context(), id, invokeParams{ID: "acct/" + tt.key, Method: http.MethodPost, Path: "/", StartBy: startBy.UnixMilli()}, c)
@@ -219,31 +230,33 @@
 	}
 }
 
-func TestOfTwoCopiesOneMayRun(t *testing.T) {
-	book := newCallBook(time.Hour, 0, time.Now)
-	if v, _ := book.begin("k"); v != verdictRun {
+func TestSecondCopyOfACallWaitsForTheFirst(t *testing.T) {
+	book := newCallRegistry(time.Hour, 0, time.Now)
+	if v, _ := book.begin("k"); v != dispositionRun {
 		t.Fatalf("first copy: %d", v)
 	}
-	if v, _ := book.begin("k"); v != verdictWait {
+	if v, _ := book.begin("k"); v != dispositionWait {
 		t.Errorf("second copy: %d, want it to wait", v)
 	}
 }
 
-func TestSettleWithoutLeaseProvesNothing(t *testing.T) {
-	b := newBench(t, false)
+// Without a lease another incarnation may run the call, so a missing record does not prove that it
+// was not run.
+func TestSettleWithoutLeaseIsUnknown(t *testing.T) {
+	b := newCallFixture(t, false)
 	b.clock = b.clock.Add(2 * time.Hour)
-	if res := b.settled(settleParams{ID: "acct/" + dated(b.clock), Pool: "p", Version: 1}); res.Outcome != Unknown {
+	if res := b.settleCall(settleParams{ID: "acct/" + keyIssuedAt(b.clock), Pool: "p", Version: 1}); res.Outcome != Unknown {
 		t.Errorf("settle: %s (%s)", res.Outcome, res.Reason)
 	}
 }
 
 func TestDrainedSidecarRefusesNewWork(t *testing.T) {
-	b := newBench(t, false)
+	b := newCallFixture(t, false)
 	b.Drain("test")
 	if r := b.refuseAtOnce(generateParams{}); r == nil || !r.Elsewhere {
-		t.Errorf("generation: %+v, want a refusal that says elsewhere", r)
+		t.Errorf("generation: %+v, want a refusal with Elsewhere set", r)
 	}
-	if res := b.file(t, "k"); res.Outcome != NotRun || b.runs != 0 {
+	if res := b.runKey(t, "k"); res.Outcome != NotRun || b.runs != 0 {
 		t.Errorf("call: %s with %d runs", res.Outcome, b.runs)
 	}
 	if res := b.runRepeatable(t.Context(), invokeParams{Method: http.MethodGet, Path: "/"}); res.Outcome != NotRun || b.runs != 0 {
@@ -251,33 +264,35 @@
 	}
 }
 
-func TestOlderConfigurationServesNoRequestOfANewerOne(t *testing.T) {
-	b := newBench(t, false)
+// A request with a newer configuration must not run under the older one that is active here, and
+// the sidecar must ask for the newer one.
+func TestRequestOfANewerConfigurationIsNotServedUnderAnOlderOne(t *testing.T) {
+	b := newCallFixture(t, false)
 	asked := make(chan struct{}, 1)
 	b.OnBehind = func(*peer.Conn) { asked <- struct{}{} }
-	if !b.behind(nil, 2) {
+	if !b.configBehind(nil, 2) {
 		t.Error("a request of version 2 is served under version 1")
 	}
 	select {
 	case <-asked:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nobody is asked for the newer configuration")
+		t.Fatal("the newer configuration is not asked for")
 	}
-	if b.behind(nil, 1) {
-		t.Error("a request of the own version is refused")
+	if b.configBehind(nil, 1) {
+		t.Error("a request of the active version is refused")
 	}
 }
 
-// A sidecar that has just restarted is sent requests before it has the
-// configuration; it must fetch that and serve, not refuse.
+// A sidecar that has just restarted gets requests before it has the configuration. It must fetch
+// the configuration and serve them instead of refusing.
 func TestRequestOfANewerConfigurationWaitsForIt(t *testing.T) {
-	b := newBench(t, false)
+	b := newCallFixture(t, false)
 	next := config.NewActive(b.active.Config(), 2, true, time.UnixMilli(1))
 	b.OnBehind = func(*peer.Conn) {
 		time.Sleep(10 * time.Millisecond)
 		b.active = next
 	}
-	if b.behind(nil, 2) {
+	if b.configBehind(nil, 2) {
 		t.Error("a request of version 2 is refused although version 2 was fetched")
 	}
 }
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -16,7 +16,7 @@
 	"github.com/sparshore/sparshore/internal/peer"
 )
 
-// Refusal is the error for a generation that provably did not run.
+// Refusal is the error for a generation that certainly did not run.
 type Refusal struct {
 	reason    string
 	retryAt   time.Time
@@ -26,13 +26,13 @@
 // Error returns the reason.
 func (r *Refusal) Error() string { return "refused: " + r.reason }
 
-// Reason returns the reason as the sidecar gave it.
+// Reason returns the reason that the sidecar gave.
 func (r *Refusal) Reason() string { return r.reason }
 
-// RetryAt returns when to come back; zero if the sidecar did not say.
+// RetryAt returns when to retry; zero if the sidecar gave no time.
 func (r *Refusal) RetryAt() time.Time { return r.retryAt }
 
-// Elsewhere reports whether another upstream may do better.
+// Elsewhere reports whether another upstream may accept the request.
 func (r *Refusal) Elsewhere() bool { return r.elsewhere }
 
 // Generate describes a generation to start.
@@ -48,7 +48,8 @@
 	StartBy   time.Time
 }
 
-// Client is the entry's half: it starts generations and receives their tokens.
+// Client is the entry's end of the protocol: it starts generations, receives their tokens and runs
+// calls to plain services.
 type Client struct {
 	rec     *events.Recorder
 	serial  atomic.Int64
@@ -63,23 +64,23 @@
 	return &Client{rec: rec, streams: map[int64]*Stream{}}
 }
 
-// Methods returns the handlers for what sidecars send.
+// Methods returns the handlers for messages from sidecars.
 func (c *Client) Methods() peer.Methods {
 	return peer.Methods{methodTokens: c.tokens}
 }
 
-// Dropped returns how many frames were dropped because they belonged to no
-// open stream, another generation or another offset.
+// Dropped returns how many frames were dropped because they did not belong to an open stream, or
+// did not carry its generation or next offset.
 func (c *Client) Dropped() int64 { return c.dropped.Load() }
 
-// Open returns the number of streams being received.
+// Open returns the number of streams that are being received.
 func (c *Client) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams)
 }
 
-// Stream is one generation as it arrives.
+// Stream is one generation as an entry receives it.
 type Stream struct {
 	client *Client
 	conn   *peer.Conn
@@ -93,8 +94,8 @@
 	wake       chan struct{}
 }
 
-// Part is the next piece of a stream: choices with consecutive offsets, and
-// the end if it has come.
+// Part is the next piece of a stream: choices with consecutive offsets, and the end if it has
+// arrived.
 type Part struct {
 	first   int64
 	choices []json.RawMessage
@@ -104,7 +105,7 @@
 // First returns the offset of the first choice.
 func (p Part) First() int64 { return p.first }
 
-// Choices returns the choices, as the engine wrote them.
+// Choices returns the choices as the engine wrote them.
 func (p Part) Choices() []json.RawMessage { return p.choices }
 
 // Ended reports whether the stream has ended after these choices.
@@ -121,8 +122,8 @@
 	return p.end.Reason
 }
 
-// EndedWith returns the start of the engine that ended under the generation, empty if none
-// did.
+// EndedWith returns the incarnation of the engine that ended while it ran the generation; empty if
+// none did.
 func (p Part) EndedWith() string {
 	if p.end == nil {
 		return ""
@@ -138,7 +139,7 @@
 	return p.end.Output
 }
 
-// Usage returns the engine's own count of tokens, nil if it gave none.
+// Usage returns the engine's own token count, nil if it gave none.
 func (p Part) Usage() json.RawMessage {
 	if p.end == nil {
 		return nil
@@ -154,8 +155,8 @@
 	return s
 }
 
-// Generate asks the sidecar at p to run a generation. It returns a *Refusal if
-// nothing ran, and an error wrapping peer.ErrLost if that is not known.
+// Generate asks the sidecar p to run a generation. It returns a *Refusal if nothing ran, and an
+// error wrapping peer.ErrLost if it is unknown whether anything ran.
 func (c *Client) Generate(ctx context.Context, p *membership.Peer, g Generate) (*Stream, error) {
 	conn := p.Conn()
 	if conn == nil {
@@ -178,7 +179,7 @@
 		s.Close()
 		return nil, refusalError(r.Refused)
 	}
-	s.named(r.Generation)
+	s.setGeneration(r.Generation)
 	return s, nil
 }
 
@@ -190,15 +191,15 @@
 	return e
 }
 
-// Resume goes on with a generation after the given offset. ErrNoGeneration
-// means that the sidecar does not keep it, or not from there.
+// Resume continues a generation after the given offset. ErrNoGeneration means that the sidecar no
+// longer keeps the generation, or not from that offset on.
 func (c *Client) Resume(ctx context.Context, p *membership.Peer, generation string, after int64, account string) (*Stream, error) {
 	conn := p.Conn()
 	if conn == nil {
 		return nil, fmt.Errorf("%w: %s", peer.ErrUnreachable, p.Address())
 	}
 	s := c.newStream(conn, after)
-	s.named(generation)
+	s.setGeneration(generation)
 	var r generateResult
 	err := conn.Call(ctx, methodResume, resumeParams{Sub: s.sub, Generation: generation, After: after, Account: account}, &r)
 	if err == nil {
@@ -211,7 +212,7 @@
 	return nil, err
 }
 
-func (s *Stream) named(generation string) {
+func (s *Stream) setGeneration(generation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generation = generation
@@ -224,8 +225,9 @@
 	return s.generation
 }
 
-// tokens takes the frames of a message. Only the next offset of a stream's own
-// generation on its own connection is taken; all else is dropped and counted.
+// tokens handles a message with frames. A frame is accepted only if it carries the next offset of
+// its stream, for the stream's generation and on the stream's connection. All others are dropped
+// and counted.
 func (c *Client) tokens(_ context.Context, conn *peer.Conn, raw json.RawMessage) (any, error) {
 	var notes []tokensNote
 	if err := json.Unmarshal(raw, &notes); err != nil {
@@ -233,28 +235,28 @@
 		return nil, fmt.Errorf("%w: tokens: %v", errParams, err)
 	}
 	for _, n := range notes {
-		c.frame(conn, n)
+		c.handleFrame(conn, n)
 	}
 	return nil, nil
 }
 
-func (c *Client) frame(conn *peer.Conn, n tokensNote) {
+func (c *Client) handleFrame(conn *peer.Conn, n tokensNote) {
 	c.mu.Lock()
 	s, ok := c.streams[n.Sub]
 	c.mu.Unlock()
 	if !ok && n.End == nil {
-		// Nobody waits for this stream any more: the request was given up
-		// before the sidecar had it.
+		// The entry gave up the request before the sidecar received it, so the sidecar runs a
+		// generation that nobody receives.
 		go func() { _ = conn.Notify(context.Background(), methodCancel, cancelNote{Sub: n.Sub}) }()
 	}
-	if !ok || s.conn != conn || !s.take(n) {
+	if !ok || s.conn != conn || !s.appendFrame(n) {
 		c.dropped.Add(1)
 		c.rec.Note(events.FrameDropped, "", "generation", n.Generation, "first", n.First)
 	}
 }
 
-// take adds the frame's choices if they come next.
-func (s *Stream) take(n tokensNote) bool {
+// appendFrame adds the frame's choices if they come next, and reports whether it did.
+func (s *Stream) appendFrame(n tokensNote) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.generation == "" {
@@ -273,8 +275,8 @@
 	return true
 }
 
-// Next waits for more of the stream. It returns an error wrapping
-// peer.ErrLost when the connection ended first.
+// Next waits for more of the stream. It returns an error wrapping peer.ErrLost when the connection
+// ended first.
 func (s *Stream) Next(ctx context.Context) (Part, error) {
 	for {
 		if p, ok := s.ready(); ok {
@@ -289,7 +291,8 @@
 		case <-s.conn.Done():
 			err = fmt.Errorf("%w: stream %s", peer.ErrLost, s.Generation())
 		}
-		// What ends the wait may come together with more of the stream, which counts.
+		// More of the stream may have arrived together with the event that ended the wait. It takes
+		// precedence over the error.
 		if p, ok := s.ready(); ok {
 			return p, nil
 		}
@@ -309,13 +312,12 @@
 	return p, true
 }
 
-// Ack tells the sidecar that everything up to offset upto was written to the
-// caller.
+// Ack tells the sidecar that everything up to offset upto was written to the caller.
 func (s *Stream) Ack(upto int64) {
 	_ = s.conn.Notify(context.Background(), methodAck, ackNote{Sub: s.sub, Upto: upto})
 }
 
-// Close stops receiving; the sidecar keeps the generation for its grace time.
+// Close stops receiving; the sidecar keeps the generation for its grace period.
 func (s *Stream) Close() {
 	s.client.mu.Lock()
 	defer s.client.mu.Unlock()
@@ -330,9 +332,9 @@
 
 // Call describes a call to a plain service.
 type Call struct {
-	// Request is the entry's identifier, for the time line.
+	// Request is the entry's identifier of the request, for the timeline.
 	Request string
-	// ID is the account, a slash, and the caller's or entry's identifier.
+	// ID is the account, a slash, and the caller's or entry's identifier of the call.
 	ID         string
 	Pool       string
 	Version    config.Version
@@ -344,22 +346,23 @@
 	StartBy    time.Time
 }
 
-// Result is what is known of a call.
+// Result is what is known about a call.
 type Result struct {
 	outcome Outcome
 	reason  string
 	status  int
 	header  http.Header
 	body    []byte
-	// endedWith is the start of the service that ended under the call.
+	// endedWith is the incarnation of the service that ended while it ran the call.
 	endedWith string
 	retryAt   time.Time
 }
 
-// RetryAt returns when to come back with a call that was not run; zero if that is not known.
+// RetryAt returns when to retry a call that was not run; zero if that is unknown.
 func (r Result) RetryAt() time.Time { return r.retryAt }
 
-// EndedWith returns the start of the service that ended under the call, empty if none did.
+// EndedWith returns the incarnation of the service that ended while it ran the call; empty if none
+// did.
 func (r Result) EndedWith() string { return r.endedWith }
 
 // Outcome returns whether the call ran.
@@ -371,10 +374,10 @@
 // Status returns the service's HTTP status, 0 if its answer is not kept.
 func (r Result) Status() int { return r.status }
 
-// Header returns the service's headers.
+// Header returns the header of the service's answer.
 func (r Result) Header() http.Header { return r.header }
 
-// Body returns the service's answer.
+// Body returns the body of the service's answer.
 func (r Result) Body() []byte { return r.body }
 
 // NewResult returns a result without an answer.
@@ -394,8 +397,8 @@
 	return out
 }
 
-// Invoke runs a call at the sidecar p. An error wrapping peer.ErrUnreachable
-// means that nothing was sent.
+// Invoke runs a call at the sidecar p. An error wrapping peer.ErrUnreachable means that nothing was
+// sent.
 func (c *Client) Invoke(ctx context.Context, p *membership.Peer, call Call) (Result, error) {
 	conn := p.Conn()
 	if conn == nil {
@@ -415,8 +418,8 @@
 	return c.result(r), nil
 }
 
-// Settle asks the sidecar p what became of a call. If it never arrived there
-// it is barred, and the outcome is NotRun.
+// Settle asks the sidecar p what became of a call. If the call never arrived there, a tombstone
+// keeps it from running later, and the outcome is NotRun.
 func (c *Client) Settle(ctx context.Context, p *membership.Peer, call Call) (Result, error) {
 	conn := p.Conn()
 	if conn == nil {
@@ -429,7 +432,7 @@
 	return c.result(r), nil
 }
 
-// Drain tells the sidecar p to take no new work.
+// Drain tells the sidecar p to accept no new work.
 func (c *Client) Drain(ctx context.Context, p *membership.Peer, by string) error {
 	conn := p.Conn()
 	if conn == nil {
--- a/internal/sidecar/detach_test.go
+++ b/internal/sidecar/detach_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// A caller's link breaks, and the time begins in which it may come back. It comes
-// back, its link breaks again, and a second time begins. The end of the first time
-// found a stream without a caller and ended it, although the second had just begun.
-func TestEndOfAnEarlierGraceLeavesTheStream(t *testing.T) {
-	b := newEngineBench(t, 3, true)
+// A caller disconnects and the grace period begins; it resumes, disconnects again, and a second
+// period begins. The end of the first period then finds a stream without a receiver, but must not
+// cut it while the second period runs.
+func TestEndOfAnEarlierGracePeriodDoesNotEndTheStream(t *testing.T) {
+	b := newEngineFixture(t, 3, true)
 	var ends []func()
 	b.server.after = func(_ time.Duration, f func()) { ends = append(ends, f) }
 	g := newGeneration("u~i~1", "r", "a", bufferLimits{unacked: 1 << 20, retained: 1 << 17})
@@ -21,11 +21,11 @@
 		if !g.attach(d, 0) {
 			t.Fatalf("receiver %d cannot attach", sub)
 		}
-		b.server.detach(heldStream{g: g, d: d})
+		b.server.detach(subscription{g: g, d: d})
 	}
 	ends[0]()
 	if end, _ := g.ended(); end != nil {
-		t.Errorf("the stream ended with %q in the time in which its caller may come back", end.Reason)
+		t.Errorf("the stream ended with %q during the second grace period", end.Reason)
 	}
 	ends[1]()
 	if end, _ := g.ended(); end == nil || end.Reason != reasonDetached {
@@ -33,13 +33,13 @@
 	}
 }
 
-// One entry cancels a stream whose caller went away while the caller comes back
-// through another entry. The cancel let go of the stream and ended it in two steps;
-// a resume that came between them got a stream, and that was cut. What counts is
-// who comes first: a resumed stream that had no end must not get one.
-func TestResumeBesideACancelIsKept(t *testing.T) {
+// One entry cancels a stream whose caller disconnected, while the caller resumes it through another
+// entry. If the cancel detached and ended the stream in two steps, a resume between them would get
+// a stream that is cut right after. Whichever comes first counts: a stream that had no end when it
+// was resumed must not get one from the cancel.
+func TestResumeRacingACancelIsNotCut(t *testing.T) {
 	const rounds = 5000
-	b := newEngineBench(t, 0, true)
+	b := newEngineFixture(t, 0, true)
 	b.server.Open(b.conn)
 	raw, err := json.Marshal(cancelNote{Sub: 1})
 	if err != nil {
@@ -48,11 +48,11 @@
 	for range rounds {
 		g := newGeneration("u~i~1", "r", "a", bufferLimits{unacked: 1 << 20, retained: 1 << 17})
 		d := &delivery{sub: 1}
-		hold(b.conn, g, d, 0)
+		subscribe(b.conn, g, d, 0)
 		var cancelled sync.WaitGroup
 		cancelled.Go(func() { _, _ = b.server.cancel(t.Context(), b.conn, raw) })
-		for holderOf(g) == d {
-			// The cancel has not let go of the stream yet.
+		for receiverOf(g) == d {
+			// Wait until the cancel has detached the stream.
 		}
 		g.attach(&delivery{sub: 2}, 0)
 		before, _ := g.ended()
@@ -63,11 +63,11 @@
 	}
 }
 
-// An entry's question for a stream is handled late, when the connection that it came over
-// has ended and the entry has asked again over another. The question took the stream away
-// from the live connection: no more of it came, and no end.
-func TestQuestionOfALostConnectionTakesNoStream(t *testing.T) {
-	b := newEngineBench(t, 0, true)
+// A resume is handled late, when its connection has ended and the entry has resumed the stream over
+// another one. If the lost connection became the receiver, the live one would get no more of the
+// stream and no end.
+func TestResumeFromALostConnectionTakesNoStream(t *testing.T) {
+	b := newEngineFixture(t, 0, true)
 	g := newGeneration("u~i~1", "r", "", bufferLimits{unacked: 1 << 20, retained: 1 << 17})
 	b.server.generations[g.id] = g
 	live := &delivery{sub: 2}
@@ -82,13 +82,13 @@
 	if _, err := b.server.resume(t.Context(), lost, raw); !errors.Is(err, ErrNoGeneration) {
 		t.Errorf("answer to the lost connection: %v, want %v", err, ErrNoGeneration)
 	}
-	if holderOf(g) != live {
-		t.Error("the stream was taken away from the live connection")
+	if receiverOf(g) != live {
+		t.Error("the live connection is no longer the receiver")
 	}
 }
 
-func holderOf(g *generation) *delivery {
+func receiverOf(g *generation) *delivery {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.holder
+	return g.receiver
 }
--- a/internal/sidecar/enginelink.go
+++ b/internal/sidecar/enginelink.go
@@ -14,40 +14,39 @@
 	"time"
 )
 
-// errEngine is wrapped by errors about the engine's answers.
+// errEngine is wrapped by errors about requests to the engine and its answers.
 var errEngine = errors.New("engine")
 
-// engineLink speaks the engine's API: OpenAI-compatible streams, the load page
-// and fenced orders.
+// engineLink is the HTTP client of the engine's API: OpenAI-compatible streams, the load page and
+// fenced commands.
 type engineLink struct {
 	base   string
 	client *http.Client
 	fence  func() int64
-	// heard gets the heads of answers to generations: when each was asked for, and whether
-	// it is no failure.
-	heard func(h http.Header, asked time.Time, whole bool)
-	// noticed, if set, gets the head of each answer as soon as it has come.
-	noticed func(status int, h http.Header)
+	// onAnswer gets the header of an answer to a generation. sentAt is when its request was sent;
+	// ok reports that the status is 200.
+	onAnswer func(h http.Header, sentAt time.Time, ok bool)
+	// onHeader, if set, gets status and header of each answer as soon as they arrive.
+	onHeader func(status int, h http.Header)
 }
 
-const orderTimeout = 2 * time.Second
+const controlTimeout = 2 * time.Second
 
 func newEngineLink(base string, fence func() int64) *engineLink {
-	// Small buffers: there is a connection for each stream, and a token is
-	// about a hundred bytes.
+	// Small buffers: there is a connection for each stream, and a token is about a hundred bytes.
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: 512, IdleConnTimeout: idleConnection,
+		MaxIdleConnsPerHost: 512, IdleConnTimeout: idleTimeout,
 		ReadBufferSize: streamBuffer, WriteBufferSize: streamBuffer,
 	}
-	return &engineLink{base: strings.TrimSuffix(base, "/"), client: &http.Client{Transport: transport}, fence: fence, heard: hearsNothing}
+	return &engineLink{base: strings.TrimSuffix(base, "/"), client: &http.Client{Transport: transport}, fence: fence, onAnswer: ignoreAnswer}
 }
 
-// hearsNothing is for links whose answers' heads nobody reads.
-func hearsNothing(http.Header, time.Time, bool) {}
+// ignoreAnswer is the onAnswer of a link whose answers nobody observes.
+func ignoreAnswer(http.Header, time.Time, bool) {}
 
 // chunk is one event of the engine's stream.
 type chunk struct {
-	// number is the event's own number, 0 if the engine numbers nothing.
+	// number is the event's id field, 0 if the engine does not number its events.
 	number int64
 	choice json.RawMessage
 	usage  json.RawMessage
@@ -60,7 +59,7 @@
 	Error   json.RawMessage   `json:"error"`
 }
 
-type choiceHead struct {
+type choiceFinish struct {
 	FinishReason *string `json:"finish_reason"`
 }
 
@@ -73,15 +72,15 @@
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set("X-Request-Id", id)
 	r.Header.Set("X-Fencing-Token", strconv.FormatInt(e.fence(), 10))
-	asked := time.Now()
+	sentAt := time.Now()
 	resp, err := e.client.Do(r)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", errEngine, err)
 	}
-	if e.noticed != nil {
-		e.noticed(resp.StatusCode, resp.Header)
+	if e.onHeader != nil {
+		e.onHeader(resp.StatusCode, resp.Header)
 	}
-	e.heard(resp.Header, asked, resp.StatusCode == http.StatusOK)
+	e.onAnswer(resp.Header, sentAt, resp.StatusCode == http.StatusOK)
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
 		return nil, fmt.Errorf("%w: status %d", errEngine, resp.StatusCode)
@@ -92,15 +91,15 @@
 const (
 	maxEngineLine = 1 << 20
 	streamBuffer  = 1 << 10
-	// idleConnection is how long a connection is kept after a burst.
-	idleConnection = 5 * time.Second
+	// idleTimeout is how long an idle connection is kept after a burst.
+	idleTimeout = 5 * time.Second
 )
 
-// errMalformed is returned for bytes that are no event of an OpenAI stream.
+// errMalformed is wrapped for bytes that are not an event of an OpenAI stream.
 var errMalformed = errors.New("malformed event")
 
-// readChunks calls take for each event until the stream's own end mark. A
-// stream that stops without it is an error.
+// readChunks calls take for each event until the stream's [DONE] mark. A stream that stops without
+// the mark is an error.
 func readChunks(body io.Reader, take func(chunk) error) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, streamBuffer), maxEngineLine)
@@ -149,24 +148,24 @@
 	if len(c.Choices) == 0 {
 		return chunk{usage: c.Usage}, nil
 	}
-	var h choiceHead
+	var h choiceFinish
 	if err := json.Unmarshal(c.Choices[0], &h); err != nil {
 		return chunk{}, fmt.Errorf("%w: %v", errMalformed, err)
 	}
 	return chunk{choice: c.Choices[0], last: h.FinishReason != nil}, nil
 }
 
-type orderBody struct {
+type commandBody struct {
 	Fence  int64  `json:"fence"`
 	Kind   string `json:"kind"`
 	Stream string `json:"stream,omitempty"`
 }
 
-// order sends a fenced order about one stream.
-func (e *engineLink) order(ctx context.Context, kind, stream string) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+// sendCommand sends a fenced command about one stream.
+func (e *engineLink) sendCommand(ctx context.Context, kind, stream string) error {
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	b, err := json.Marshal(orderBody{Fence: e.fence(), Kind: kind, Stream: stream})
+	b, err := json.Marshal(commandBody{Fence: e.fence(), Kind: kind, Stream: stream})
 	if err != nil {
 		return fmt.Errorf("%w: %v", errEngine, err)
 	}
@@ -176,16 +175,16 @@
 	}
 	resp, err := e.client.Do(r)
 	if err != nil {
-		return fmt.Errorf("%w: order %s: %v", errEngine, kind, err)
+		return fmt.Errorf("%w: command %s: %v", errEngine, kind, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: order %s: status %d", errEngine, kind, resp.StatusCode)
+		return fmt.Errorf("%w: command %s: status %d", errEngine, kind, resp.StatusCode)
 	}
 	return nil
 }
 
-// engineLoad is the engine's own, late word on its memory.
+// engineLoad is the engine's report on its memory and streams, which lags behind.
 type engineLoad struct {
 	At          int64 `json:"at_unix_ms"`
 	BlocksUsed  int   `json:"blocks_used"`
@@ -196,7 +195,7 @@
 }
 
 func (e *engineLink) load(ctx context.Context) (engineLoad, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var l engineLoad
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, e.base+"/load", nil)
--- a/internal/sidecar/fault_test.go
+++ b/internal/sidecar/fault_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A generation that the sidecar fails over ended it, with all that it served, and was sent to
-// the next sidecar then.
-func TestGenerationThatEndsNoSidecar(t *testing.T) {
-	b := newEngineBench(t, 3, false)
+// A generation over which the sidecar panics must not crash the sidecar, which would end everything
+// that it serves, and then the next sidecar to which the request is retried.
+func TestPanicInAGenerationEndsOnlyThatGeneration(t *testing.T) {
+	b := newEngineFixture(t, 3, false)
 	link := b.server.runner.link
 	b.server.runner.link = nil
 	ask := func(sub int64) *endNote {
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/sparshore/sparshore/internal/peer"
 )
 
-// FuzzReadChunks feeds the reader of an engine's stream: whatever comes, a
-// stream is whole only after its own end mark, and nothing panics.
+// FuzzReadChunks feeds arbitrary bytes to the reader of an engine's stream. A stream must be whole
+// only after its [DONE] mark, and nothing may panic.
 func FuzzReadChunks(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {]\n\n"))
@@ -21,7 +21,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		err := readChunks(bytes.NewReader(body), func(chunk) error { return nil })
 		if err == nil && !bytes.Contains(body, []byte("[DONE]")) {
-			t.Fatal("whole without an end mark")
+			t.Fatal("whole without [DONE]")
 		}
 		if err != nil && !errors.Is(err, errMalformed) && !errors.Is(err, errEngine) {
 			t.Fatalf("unexpected kind of error: %v", err)
@@ -29,8 +29,8 @@
 	})
 }
 
-// closedConn is a connection that has ended: frames of unknown streams are
-// answered on it, to nobody.
+// closedConn returns a connection that has ended. The client tries to cancel unknown streams on it,
+// and these messages reach nobody.
 func closedConn(t *testing.T) *peer.Conn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,8 +46,8 @@
 	return c
 }
 
-// FuzzTokensFrame feeds frames to an entry's stream: only the next offset of
-// its own generation is ever taken.
+// FuzzTokensFrame feeds frames to an entry's stream. Only the next offset of the stream's own
+// generation may be accepted.
 func FuzzTokensFrame(f *testing.F) {
 	f.Add([]byte(`[{"sub":1,"generation":"g","first":1,"choices":[{"text":"a"}]}]`))
 	f.Add([]byte(`[{"sub":1,"generation":"h","first":1,"choices":[{}],"end":{"whole":true}}]`))
@@ -57,10 +57,10 @@
 		c := NewClient(events.Nop())
 		conn := closedConn(t)
 		s := c.newStream(conn, 0)
-		s.named("g")
+		s.setGeneration("g")
 		_, _ = c.tokens(t.Context(), conn, raw)
 		if p, ok := s.ready(); ok && len(p.Choices()) > 0 && p.First() != 1 {
-			t.Fatalf("took offset %d first", p.First())
+			t.Fatalf("accepted offset %d first", p.First())
 		}
 	})
 }
--- a/internal/sidecar/generation.go
+++ b/internal/sidecar/generation.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// bufferLimits bound what one generation keeps.
+// bufferLimits bound the buffer of one generation.
 type bufferLimits struct {
-	// unacked is the most bytes that no entry has acknowledged; above it the
-	// caller is too slow and the stream is cut.
+	// unacked is the most bytes that may wait for an acknowledgement; above it the caller is too
+	// slow and the stream is cut.
 	unacked int
-	// retained is how many acknowledged bytes stay for a caller that comes
-	// back. It is more than an entry's socket to its caller can hold.
+	// retained is how many acknowledged bytes are kept for a caller that reconnects. It must be
+	// more than the socket from an entry to its caller can hold.
 	retained int
 }
 
@@ -28,7 +28,7 @@
 	reasonFault      = "a fault of the sidecar"
 )
 
-// generation keeps the numbered tokens of one run on the engine.
+// generation buffers the numbered tokens of one run on the engine.
 type generation struct {
 	id      string
 	request string
@@ -39,7 +39,7 @@
 	// first is the offset of choices[0].
 	first   int64
 	choices []json.RawMessage
-	// acked is the highest offset an entry has written to the caller.
+	// acked is the highest offset that an entry has written to its caller.
 	acked         int64
 	bytesUnacked  int
 	bytesRetained int
@@ -47,28 +47,31 @@
 	usage         json.RawMessage
 	end           *endNote
 	endedAt       time.Time
-	// endedWith is the start of the engine that ended under the generation.
-	endedWith string
+	// endedIncarnation is the incarnation of the engine that ended while it ran the generation;
+	// empty if none did.
+	endedIncarnation string
 	// changed is closed and replaced whenever there is something to send.
 	changed chan struct{}
-	// holder is the connection that receives the stream; the newest wins.
-	holder *delivery
-	// left is the last holder while there is none.
-	left   *delivery
-	cancel func()
+	// receiver is the delivery that gets the stream; a newer one replaces it.
+	receiver *delivery
+	// lastReceiver is the delivery that detached last, while there is no receiver.
+	lastReceiver *delivery
+	cancel       func()
 }
 
 func newGeneration(id, request, account string, limits bufferLimits) *generation {
 	return &generation{id: id, request: request, account: account, limits: limits, first: 1, changed: make(chan struct{})}
 }
 
-func (g *generation) wake() {
+// wakeLocked wakes the goroutines that wait for something to send. It needs the lock.
+func (g *generation) wakeLocked() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// append adds one choice; it returns false when the generation has ended.
-func (g *generation) append(choice json.RawMessage, counts bool) bool {
+// append adds one choice, which is an output token if isToken is set. It returns false when the
+// generation has ended.
+func (g *generation) append(choice json.RawMessage, isToken bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.end != nil {
@@ -76,56 +79,59 @@
 	}
 	g.choices = append(g.choices, choice)
 	g.bytesUnacked += len(choice)
-	if counts {
+	if isToken {
 		g.output++
 	}
 	if g.bytesUnacked > g.limits.unacked {
-		g.finish(false, reasonSlowCaller)
+		g.finishLocked(false, reasonSlowCaller)
 	}
-	g.wake()
+	g.wakeLocked()
 	return g.end == nil
 }
 
-// count keeps the engine's own count of tokens.
-func (g *generation) count(usage json.RawMessage) {
+// setUsage keeps the engine's own token count.
+func (g *generation) setUsage(usage json.RawMessage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.usage = usage
 }
 
-// lostWith notes that a start of the engine ended under the generation; empty for none.
-func (g *generation) lostWith(start string) {
+// setEndedIncarnation records the incarnation of the engine that ended while it ran the generation;
+// empty for none.
+func (g *generation) setEndedIncarnation(incarnation string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.endedWith = start
+	g.endedIncarnation = incarnation
 }
 
-// finishOnce ends the generation; only the first reason counts.
-func (g *generation) finishOnce(whole bool, reason string) {
+// finish ends the generation; only the first reason counts.
+func (g *generation) finish(whole bool, reason string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.end != nil {
 		return
 	}
-	g.finish(whole, reason)
-	g.wake()
+	g.finishLocked(whole, reason)
+	g.wakeLocked()
 }
 
-func (g *generation) finish(whole bool, reason string) {
-	g.end = &endNote{Whole: whole, Reason: reason, EndedWith: g.endedWith, Total: g.first + int64(len(g.choices)) - 1, Output: g.output, Usage: g.usage}
+// finishLocked ends a generation that has not ended. It needs the lock.
+func (g *generation) finishLocked(whole bool, reason string) {
+	g.end = &endNote{Whole: whole, Reason: reason, EndedWith: g.endedIncarnation,
+		Total: g.first + int64(len(g.choices)) - 1, Output: g.output, Usage: g.usage}
 	g.endedAt = time.Now()
 	if g.cancel != nil {
 		go g.cancel()
 	}
 }
 
-// ack notes that the caller's socket has taken everything up to offset upto,
-// and drops what no longer has to be kept. It reports whether the generation
-// has ended and all of it was taken.
+// ack records that the caller's socket has accepted everything up to offset upto, and drops choices
+// that need not be kept any longer. It reports whether the generation has ended and all of it is
+// acknowledged.
 func (g *generation) ack(d *delivery, upto int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.holder != d {
+	if g.receiver != d {
 		return false
 	}
 	last := g.first + int64(len(g.choices)) - 1
@@ -146,14 +152,14 @@
 	return g.end != nil && g.acked == last
 }
 
-// delivery is one entry's connection to a generation.
+// delivery is the sending of a generation to one entry's connection.
 type delivery struct {
 	sub  int64
 	next int64
 }
 
-// attach makes d the receiver from the offset after the given one. It returns
-// false when part of what d asks for is no longer kept.
+// attach makes d the receiver, starting after the given offset. It returns false when part of what
+// follows is no longer kept, or when the offset does not exist yet.
 func (g *generation) attach(d *delivery, after int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -162,8 +168,8 @@
 		return false
 	}
 	d.next = after + 1
-	g.holder, g.left = d, nil
-	g.wake()
+	g.receiver, g.lastReceiver = d, nil
+	g.wakeLocked()
 	return true
 }
 
@@ -171,26 +177,26 @@
 func (g *generation) detach(d *delivery) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.holder != d {
+	if g.receiver != d {
 		return false
 	}
-	g.holder, g.left = nil, d
+	g.receiver, g.lastReceiver = nil, d
 	return true
 }
 
-// abandon ends the generation for a receiver that is the newest one, whether it has
-// left or not, and reports whether it was. Looking and ending are one step: a caller
-// that comes back makes another receiver, and from then on the stream is that one's.
+// abandon ends the generation if d is the newest receiver, attached or not, and reports whether it
+// was. Check and end are one step under the lock: a caller that resumes attaches a newer receiver,
+// and from then on d must not end the stream.
 func (g *generation) abandon(d *delivery, reason string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.holder != d && g.left != d {
+	if g.receiver != d && g.lastReceiver != d {
 		return false
 	}
-	g.holder, g.left = nil, d
+	g.receiver, g.lastReceiver = nil, d
 	if g.end == nil {
-		g.finish(false, reason)
-		g.wake()
+		g.finishLocked(false, reason)
+		g.wakeLocked()
 	}
 	return true
 }
@@ -204,12 +210,12 @@
 // maxFrameChoices bounds one frame, so that streams share a connection fairly.
 const maxFrameChoices = 64
 
-// frame returns what d has to send next, or a channel to wait on. ok is false
-// when d is not the receiver any more.
+// frame returns what d has to send next, or a channel to wait on. ok is false when d is no longer
+// the receiver.
 func (g *generation) frame(d *delivery) (note *tokensNote, wait <-chan struct{}, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.holder != d {
+	if g.receiver != d {
 		return nil, nil, false
 	}
 	from := int(d.next - g.first)
--- a/internal/sidecar/generation_test.go
+++ b/internal/sidecar/generation_test.go
@@ -10,9 +10,9 @@
 	"github.com/sparshore/sparshore/internal/events"
 )
 
-// TestDeliveryOverReconnections lets a generation and a caller take random
-// steps (tokens, frames, acknowledgements, late and repeated frames, broken
-// links, resumes) and checks that the caller has each offset once, in order.
+// TestDeliveryOverReconnections applies random steps to a generation and its caller (tokens,
+// frames, acknowledgements, late and repeated frames, lost connections, resumes) and checks that
+// the caller gets each offset once and in order.
 func TestDeliveryOverReconnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGeneration("g", "r", "a", bufferLimits{unacked: 1 << 20, retained: 200})
@@ -23,7 +23,7 @@
 		made, got := 0, int64(0)
 		resume := func() {
 			s = client.newStream(nil, got)
-			s.named("g")
+			s.setGeneration("g")
 			d = &delivery{sub: s.sub}
 			if !g.attach(d, got) {
 				t.Fatalf("offset %d is not kept, first is %d", got, g.first)
@@ -39,19 +39,19 @@
 			case 2:
 				if n, _, ok := g.frame(d); ok && n != nil {
 					sent = append(sent, *n)
-					s.take(*n)
+					s.appendFrame(*n)
 				}
 			case 3:
 				if len(sent) > 0 {
 					late := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "late")]
-					if s.take(late) {
-						t.Fatal("a repeated frame was taken")
+					if s.appendFrame(late) {
+						t.Fatal("a repeated frame was accepted")
 					}
 				}
 			case 4:
 				other := tokensNote{Sub: s.sub, Generation: "other", First: got + 1, Choices: []json.RawMessage{[]byte(`{"text":"x"}`)}}
-				if s.take(other) {
-					t.Fatal("a frame of another generation was taken")
+				if s.appendFrame(other) {
+					t.Fatal("a frame of another generation was accepted")
 				}
 			case 5:
 				got = receive(t, s, got)
@@ -60,14 +60,14 @@
 				resume()
 			}
 		}
-		g.finishOnce(true, "")
+		g.finish(true, "")
 		resume()
 		for {
 			n, _, _ := g.frame(d)
 			if n == nil {
-				t.Fatal("no end came")
+				t.Fatal("the stream has no end")
 			}
-			s.take(*n)
+			s.appendFrame(*n)
 			if n.End != nil {
 				break
 			}
@@ -78,14 +78,15 @@
 	})
 }
 
-// receive takes what is ready and checks that it continues at got+1.
+// receive takes the ready choices, checks that they continue after offset got, and returns the last
+// offset.
 func receive(t *rapid.T, s *Stream, got int64) int64 {
 	p, ok := s.ready()
 	if !ok || len(p.Choices()) == 0 {
 		return got
 	}
 	if p.First() != got+1 {
-		t.Fatalf("piece starts at %d after %d", p.First(), got)
+		t.Fatalf("part starts at %d after %d", p.First(), got)
 	}
 	for i, c := range p.Choices() {
 		if want := fmt.Sprintf(`{"text":"%d"}`, got+1+int64(i)); string(c) != want {
--- a/internal/sidecar/lateanswer_test.go
+++ b/internal/sidecar/lateanswer_test.go
@@ -12,22 +12,22 @@
 	"github.com/sparshore/sparshore/internal/standin"
 )
 
-// A service had answered before the time limit of its call, and the sidecar did not get to run
-// until the limit was over: the call was given up as unknown, though its answer was there.
-func TestCallWhoseAnswerCameBeforeTheTimeLimit(t *testing.T) {
+// A service answers before the call's timeout, but the sidecar is not scheduled until the timeout
+// has passed. The call must not be given up as unknown, since its answer is there.
+func TestAnswerThatArrivedBeforeTheTimeoutIsRead(t *testing.T) {
 	const limit, stall = 100 * time.Millisecond, 120 * time.Millisecond
 	for _, tc := range []struct {
 		name  string
-		takes time.Duration
+		delay time.Duration
 		whole bool
 	}{
-		{"it is there", 0, true},
-		{"it is not", time.Second, false},
+		{"answer before the timeout", 0, true},
+		{"no answer before the timeout", time.Second, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				select {
-				case <-time.After(tc.takes):
+				case <-time.After(tc.delay):
 				case <-r.Context().Done():
 				}
 				_, _ = w.Write([]byte("body"))
@@ -40,13 +40,13 @@
 				}
 				return standin.NewHeldBack(c, time.Now().Add(stall)), nil
 			}
-			l := &serviceLink{base: s.URL, client: &http.Client{Transport: &http.Transport{DialContext: dial}}, fence: func() int64 { return 1 }, heard: hearsNothing}
+			l := &serviceLink{base: s.URL, client: &http.Client{Transport: &http.Transport{DialContext: dial}}, fence: func() int64 { return 1 }, onAnswer: ignoreAnswer}
 			ctx, cancel := context.WithTimeout(t.Context(), limit)
 			defer cancel()
 			start := time.Now()
 			a, err := l.do(ctx, invokeParams{Method: http.MethodGet, Path: "/"})
 			if whole := err == nil && string(a.body) == "body"; whole != tc.whole {
-				t.Errorf("%v; want it whole: %v", err, tc.whole)
+				t.Errorf("error %v; want a whole answer: %v", err, tc.whole)
 			}
 			if took := time.Since(start); took > limit+stall+200*time.Millisecond {
 				t.Errorf("took %s", took)
@@ -55,11 +55,11 @@
 	}
 }
 
-// An answer that is longer than what is read of one was passed on cut, as if it were whole.
-func TestCallWhoseAnswerIsTooLong(t *testing.T) {
+// An answer that exceeds maxAnswer must not be passed on truncated as if it were whole.
+func TestTooLongAnswerIsAnError(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, maxAnswer+1)) }))
 	defer s.Close()
-	l := &serviceLink{base: s.URL, client: s.Client(), fence: func() int64 { return 1 }, heard: hearsNothing}
+	l := &serviceLink{base: s.URL, client: s.Client(), fence: func() int64 { return 1 }, onAnswer: ignoreAnswer}
 	a, err := l.do(t.Context(), invokeParams{Method: http.MethodGet, Path: "/"})
 	if !errors.Is(err, errAnswerTooLong) {
 		t.Errorf("%v, want %v", err, errAnswerTooLong)
--- a/internal/sidecar/limit.go
+++ b/internal/sidecar/limit.go
@@ -10,86 +10,93 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// takesNoMore is the reason that entries get for a request beyond what the upstream takes or wants.
-const takesNoMore = "the upstream takes no more requests now"
+// reasonRateLimited is the reason that entries get for a request over the upstream's rate limit, or
+// during a backoff that the upstream asked for or while it is leaving.
+const reasonRateLimited = "the upstream takes no more requests now"
 
-// permitWithin bounds the wait of a call that no other upstream may run for a permit.
-const permitWithin = 500 * time.Millisecond
+// maxPermitWait bounds how long a call that only this upstream may run waits for a permit.
+const maxPermitWait = 500 * time.Millisecond
 
-// takes keeps to how many requests a second the upstream beside a sidecar says that it takes. The
-// sidecar is the only door to it, so it shares that with nobody; entries learn when to come back.
-type takes struct {
-	// header is the header by which the upstream says so; empty if none does.
-	header string
-	starts *starts
-	set    *limits.Set
-	// notices is what else the upstream says of itself.
+// upstreamLimiter enforces the rate limit that the upstream announces in its answers, and the
+// pauses that notices tracks. All requests to the upstream go through this sidecar, so the limit is
+// not shared with other processes. Entries are told when to retry.
+type upstreamLimiter struct {
+	// header is the name of the header that announces the rate limit in requests a second; empty if
+	// the upstream announces none.
+	header       string
+	incarnations *upstreamIncarnations
+	set          *limits.Set
+	// notices tracks backoff and leaving, which the upstream announces in other headers.
 	notices *notices
 	rec     *events.Recorder
 	now     func() time.Time
 }
 
-func newTakes(header string, starts *starts, rec *events.Recorder, now func() time.Time) *takes {
-	t := &takes{header: header, starts: starts, set: limits.New("", "", limits.Alone(), rec, now), notices: newNotices(starts, rec, now), rec: rec, now: now}
-	t.set.Listed(1)
-	return t
+func newUpstreamLimiter(header string, incarnations *upstreamIncarnations, rec *events.Recorder,
+	now func() time.Time) *upstreamLimiter {
+	l := &upstreamLimiter{header: header, incarnations: incarnations,
+		set:     limits.New("", "", limits.Alone(), rec, now),
+		notices: newNotices(incarnations, rec, now), rec: rec, now: now}
+	l.set.Listed(1)
+	return l
 }
 
-// heard takes over what an answer says; asked is when its request was sent, and whole tells that
-// it is no failure and did not break off.
-func (t *takes) heard(h http.Header, asked time.Time, whole bool) {
-	values := h.Values(t.header)
-	if t.header == "" || len(values) == 0 {
-		if whole {
-			t.set.Unnamed(t.starts.current(), asked)
+// observeAnswer updates the rate limit from the header of an answer. sentAt is when its request was
+// sent; ok reports that the answer was read whole and is no failure. Only an ok answer can show by
+// the missing header that there is no limit any more.
+func (l *upstreamLimiter) observeAnswer(h http.Header, sentAt time.Time, ok bool) {
+	values := h.Values(l.header)
+	if l.header == "" || len(values) == 0 {
+		if ok {
+			l.set.Unnamed(l.incarnations.current(), sentAt)
 		}
 		return
 	}
 	perSecond, err := protocol.ParseRate(values)
 	if err != nil {
-		t.rec.Note(events.LimitRejected, "", "error", err)
+		l.rec.Note(events.LimitRejected, "", "error", err)
 		return
 	}
-	t.set.Named(t.starts.current(), perSecond)
+	l.set.Named(l.incarnations.current(), perSecond)
 }
 
-// take takes a permit to send one request. If there is none it returns when there may be one.
-func (t *takes) take(ctx context.Context) (opensAt time.Time, ok bool) {
-	if at := t.notices.opensAt(); at.After(t.now()) {
+// takePermit takes a permit to send one request. If there is none it returns when to retry.
+func (l *upstreamLimiter) takePermit(ctx context.Context) (opensAt time.Time, ok bool) {
+	if at := l.notices.opensAt(); at.After(l.now()) {
 		return at, false
 	}
-	if t.set.Take(ctx, t.starts.current()) == nil {
+	if l.set.Take(ctx, l.incarnations.current()) == nil {
 		return time.Time{}, true
 	}
-	return t.opensAt(), false
+	return l.opensAt(), false
 }
 
-// await is take for a request that can wait until a time.
-func (t *takes) await(ctx context.Context, until time.Time) (opensAt time.Time, ok bool) {
+// awaitPermit is takePermit for a request that can wait until the given time.
+func (l *upstreamLimiter) awaitPermit(ctx context.Context, until time.Time) (opensAt time.Time, ok bool) {
 	for {
-		opensAt, ok = t.take(ctx)
+		opensAt, ok = l.takePermit(ctx)
 		if ok || opensAt.After(until) {
 			return opensAt, ok
 		}
 		select {
-		case <-time.After(max(opensAt.Sub(t.now()), time.Millisecond)):
+		case <-time.After(max(opensAt.Sub(l.now()), time.Millisecond)):
 		case <-ctx.Done():
 			return opensAt, false
 		}
 	}
 }
 
-// opensAt is when there may be a permit again; zero or past if there may be one now.
-func (t *takes) opensAt() time.Time {
-	limited, wanted := t.set.OpensAt(t.starts.current()), t.notices.opensAt()
-	if wanted.After(limited) {
-		return wanted
+// opensAt returns when there may be a permit again; zero or past if there may be one now.
+func (l *upstreamLimiter) opensAt() time.Time {
+	limitEnd, noticeEnd := l.set.OpensAt(l.incarnations.current()), l.notices.opensAt()
+	if noticeEnd.After(limitEnd) {
+		return noticeEnd
 	}
-	return limited
+	return limitEnd
 }
 
-// sweep forgets the limits of earlier starts of the upstream.
-func (t *takes) sweep() {
-	current := t.starts.current()
-	t.set.Sweep(func(start string) bool { return start == current })
+// sweep forgets the limits of earlier incarnations of the upstream.
+func (l *upstreamLimiter) sweep() {
+	current := l.incarnations.current()
+	l.set.Sweep(func(incarnation string) bool { return incarnation == current })
 }
--- a/internal/sidecar/notice.go
+++ b/internal/sidecar/notice.go
@@ -10,102 +10,106 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// notices keeps to what the upstream beside a sidecar says of itself in its answers. The sidecar is
-// the only door to it, so what it was asked for holds for all entries.
+// notices tracks what the upstream announces about itself in its answers: a backoff that it asks
+// for, and that it is leaving. All requests to the upstream go through this sidecar, so an
+// announcement holds for the requests of all entries.
 type notices struct {
-	// leavingHeader is the header by which the upstream says that it leaves; empty if it does not.
+	// leavingHeader is the name of the header that announces that the upstream is leaving; empty if
+	// the upstream does not announce it.
 	leavingHeader string
-	starts        *starts
+	incarnations  *upstreamIncarnations
 	rec           *events.Recorder
 	now           func() time.Time
 
 	mu sync.Mutex
-	// start is the start of the upstream that said what follows.
-	start string
-	// backOff is until when it wants no requests.
-	backOff time.Time
-	// leavesUntil is until when it counts as leaving; zero if it did not say so.
-	leavesUntil time.Time
+	// incarnation is the incarnation of the upstream that announced the values below.
+	incarnation string
+	// backoffUntil is the end of the backoff that the upstream asked for.
+	backoffUntil time.Time
+	// leavingUntil is until when the upstream counts as leaving; zero if it did not announce that.
+	leavingUntil time.Time
 }
 
 const (
-	// leavesFor is how long an upstream that said that it leaves gets no requests. One that is
-	// still there after that gets one, the answer to which tells.
-	leavesFor = time.Minute
-	// leavesLook is the pause between two looks at whether it ended.
-	leavesLook = 100 * time.Millisecond
-	// backLeaving is the time after which to ask again for requests that no other upstream takes:
-	// about that in which the next start is there.
-	backLeaving = time.Second
+	// leavingTTL is how long an upstream that announced that it is leaving gets no requests. If it
+	// is still there after that, it gets requests again, and their answers show whether it is still
+	// leaving.
+	leavingTTL = time.Minute
+	// leavingProbePeriod is the pause between two probes of whether a leaving upstream has ended.
+	leavingProbePeriod = 100 * time.Millisecond
+	// leavingRetryDelay is the retry delay for requests that no other upstream may run. It is about
+	// the time that the next incarnation needs to start.
+	leavingRetryDelay = time.Second
 )
 
-func newNotices(starts *starts, rec *events.Recorder, now func() time.Time) *notices {
-	return &notices{starts: starts, rec: rec, now: now}
+func newNotices(incarnations *upstreamIncarnations, rec *events.Recorder, now func() time.Time) *notices {
+	return &notices{incarnations: incarnations, rec: rec, now: now}
 }
 
-// heard takes over what the head of an answer says.
-func (n *notices) heard(status int, h http.Header) {
-	now, start := n.now(), n.starts.current()
+// observeHeader records what the header of an answer announces.
+func (n *notices) observeHeader(status int, h http.Header) {
+	now, incarnation := n.now(), n.incarnations.current()
 	leaving := n.leavingHeader != "" && protocol.ParseLeaving(h.Get(n.leavingHeader))
-	var until time.Time
+	var backoffUntil time.Time
 	if status == http.StatusServiceUnavailable {
-		until = protocol.ParseRetryAfter(h.Get("Retry-After"), now)
+		backoffUntil = protocol.ParseRetryAfter(h.Get("Retry-After"), now)
 	}
-	if !leaving && until.IsZero() {
+	if !leaving && backoffUntil.IsZero() {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.begin(start)
-	news := leaving && !n.leavesUntil.After(now)
-	if news {
-		go n.watch(start)
+	n.resetLocked(incarnation)
+	changed := leaving && !n.leavingUntil.After(now)
+	if changed {
+		go n.probeUntilGone(incarnation)
 	}
 	if leaving {
-		n.leavesUntil = now.Add(leavesFor)
+		n.leavingUntil = now.Add(leavingTTL)
 	}
-	if until.After(n.backOff) {
-		n.backOff, news = until, true
+	if backoffUntil.After(n.backoffUntil) {
+		n.backoffUntil, changed = backoffUntil, true
 	}
-	if news {
-		n.rec.Note(events.UpstreamNotice, "", "upstream", start, "leaving", leaving, "back-off", max(until.Sub(now), 0))
+	if changed {
+		n.rec.Note(events.UpstreamNotice, "", "upstream", incarnation, "leaving", leaving, "back-off", max(backoffUntil.Sub(now), 0))
 	}
 }
 
-// watch looks whether a start that leaves has ended: it gets no requests, so no answer tells.
-func (n *notices) watch(start string) {
-	for n.leaves(start) {
-		n.starts.ended(context.Background())
-		time.Sleep(leavesLook)
+// probeUntilGone probes a leaving incarnation until it has ended or no longer counts as leaving. It
+// gets no requests, so no broken answer would reveal its end.
+func (n *notices) probeUntilGone(incarnation string) {
+	for n.isLeaving(incarnation) {
+		n.incarnations.probeEnded(context.Background())
+		time.Sleep(leavingProbePeriod)
 	}
 }
 
-// leaves reports whether a start is there and counts as leaving.
-func (n *notices) leaves(start string) bool {
-	if n.starts.current() != start {
+// isLeaving reports whether the incarnation is the current one and counts as leaving.
+func (n *notices) isLeaving(incarnation string) bool {
+	if n.incarnations.current() != incarnation {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.start == start && n.now().Before(n.leavesUntil)
+	return n.incarnation == incarnation && n.now().Before(n.leavingUntil)
 }
 
-// begin forgets what an earlier start said. It needs the lock.
-func (n *notices) begin(start string) {
-	if n.start != start {
-		n.start, n.backOff, n.leavesUntil = start, time.Time{}, time.Time{}
+// resetLocked forgets what an earlier incarnation announced. It needs the lock.
+func (n *notices) resetLocked(incarnation string) {
+	if n.incarnation != incarnation {
+		n.incarnation, n.backoffUntil, n.leavingUntil = incarnation, time.Time{}, time.Time{}
 	}
 }
 
-// opensAt is from when on the upstream wants requests; zero or past if it does now. For one that
-// leaves that is not known.
+// opensAt returns when the upstream accepts requests again; zero or past if it does now. For a
+// leaving upstream that time is unknown, and opensAt returns the earliest time for a retry.
 func (n *notices) opensAt() time.Time {
-	start := n.starts.current()
+	incarnation := n.incarnations.current()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.begin(start)
-	if now := n.now(); now.Before(n.leavesUntil) && n.backOff.Before(now.Add(backLeaving)) {
-		return now.Add(backLeaving)
+	n.resetLocked(incarnation)
+	if now := n.now(); now.Before(n.leavingUntil) && n.backoffUntil.Before(now.Add(leavingRetryDelay)) {
+		return now.Add(leavingRetryDelay)
 	}
-	return n.backOff
+	return n.backoffUntil
 }
--- a/internal/sidecar/outbox.go
+++ b/internal/sidecar/outbox.go
@@ -7,13 +7,13 @@
 	"github.com/sparshore/sparshore/internal/peer"
 )
 
-// outbox joins the frames of all streams on one connection: what becomes ready
-// while a message is being written goes out together in the next one. A decode
-// step of a full batch then costs a few writes and not one for each stream.
+// outbox batches the frames of all streams on one connection: frames that become ready while a
+// message is being written are sent together in the next message. A decode step of a full batch
+// then costs a few writes instead of one for each stream.
 type outbox struct {
 	mu    sync.Mutex
 	notes []*tokensNote
-	// sent is closed when the notes gathered now have been written.
+	// sent is closed when the frames that are queued now have been written.
 	sent chan struct{}
 	wake chan struct{}
 }
@@ -22,8 +22,8 @@
 	return &outbox{sent: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
-// put adds a frame. The channel is closed when it has been written, so that a
-// stream has at most one frame waiting.
+// put queues a frame. The returned channel is closed when the frame has been written, so that a
+// stream never queues more than one frame.
 func (o *outbox) put(n *tokensNote) <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/sidecar/runner.go
+++ b/internal/sidecar/runner.go
@@ -12,59 +12,60 @@
 	"github.com/sparshore/sparshore/internal/membership"
 )
 
-// runner puts the decision between the queue and one engine: it tells the
-// scheduler what happens and carries out what it decides.
+// runner connects the scheduler with one engine: it reports events to the scheduler and carries out
+// the actions that the scheduler decides on.
 type runner struct {
-	link   *engineLink
-	starts *starts
-	rec    *events.Recorder
-	now    func() time.Time
-	met    *Metrics
-
-	mu      sync.Mutex
-	sched   *decision.Scheduler
-	blocks  int
-	waiters map[string]chan decision.Action
-	orders  chan engineOrder
-	wake    chan struct{}
+	link         *engineLink
+	incarnations *upstreamIncarnations
+	rec          *events.Recorder
+	now          func() time.Time
+	metrics      *Metrics
+
+	mu       sync.Mutex
+	sched    *decision.Scheduler
+	blocks   int
+	waiters  map[string]chan decision.Action
+	commands chan engineCommand
+	wake     chan struct{}
 }
 
-type engineOrder struct {
+type engineCommand struct {
 	kind   string
 	stream string
 }
 
 const (
-	// decidePeriod is how often the decision runs when nothing arrives or ends.
+	// decidePeriod is how often the scheduler decides when no generation arrives or ends.
 	decidePeriod = 10 * time.Millisecond
 	// loadPeriod is how often the engine's load page is read.
-	loadPeriod  = 500 * time.Millisecond
-	orderBuffer = 4096
+	loadPeriod    = 500 * time.Millisecond
+	commandBuffer = 4096
 )
 
-func newRunner(link *engineLink, starts *starts, settings decision.Settings, rec *events.Recorder, met *Metrics, now func() time.Time) *runner {
+func newRunner(link *engineLink, incarnations *upstreamIncarnations, settings decision.Settings,
+	rec *events.Recorder, metrics *Metrics, now func() time.Time) *runner {
 	return &runner{
-		link:    link,
-		starts:  starts,
-		rec:     rec,
-		met:     met,
-		now:     now,
-		sched:   decision.New(settings, now),
-		blocks:  settings.Blocks,
-		waiters: map[string]chan decision.Action{},
-		orders:  make(chan engineOrder, orderBuffer),
-		wake:    make(chan struct{}, 1),
+		link:         link,
+		incarnations: incarnations,
+		rec:          rec,
+		metrics:      metrics,
+		now:          now,
+		sched:        decision.New(settings, now),
+		blocks:       settings.Blocks,
+		waiters:      map[string]chan decision.Action{},
+		commands:     make(chan engineCommand, commandBuffer),
+		wake:         make(chan struct{}, 1),
 	}
 }
 
-// run drives the periodic work until ctx ends. A plain service has no load
-// page to read.
+// run does the periodic work until ctx ends. The load page is read only if isEngine reports true,
+// since a plain service has none.
 func (r *runner) run(ctx context.Context, isEngine func() bool) {
-	go r.sendOrders(ctx)
+	go r.sendCommands(ctx)
 	nextLoad := r.now()
 	for {
 		if r.idle() {
-			// Nothing runs and nothing waits: no tick until something arrives.
+			// Without generations there is nothing to decide until the next one arrives.
 			select {
 			case <-ctx.Done():
 				return
@@ -78,7 +79,7 @@
 		case <-time.After(decidePeriod):
 		}
 		r.mu.Lock()
-		r.decide()
+		r.decideLocked()
 		r.mu.Unlock()
 		if now := r.now(); isEngine() && !now.Before(nextLoad) {
 			nextLoad = now.Add(loadPeriod)
@@ -93,14 +94,14 @@
 	return r.sched.Running()+r.sched.Waiting()+r.sched.Paused() == 0
 }
 
-func (r *runner) sendOrders(ctx context.Context) {
+func (r *runner) sendCommands(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-r.orders:
-			if err := r.link.order(ctx, o.kind, o.stream); err != nil {
-				r.met.orderErrors.Inc()
+		case c := <-r.commands:
+			if err := r.link.sendCommand(ctx, c.kind, c.stream); err != nil {
+				r.metrics.commandErrors.Inc()
 			}
 		}
 	}
@@ -116,14 +117,14 @@
 	r.sched.Report(l.BlocksUsed, time.UnixMilli(l.At))
 }
 
-// arrive queues a generation; the decision about it comes on the channel.
-func (r *runner) arrive(req decision.Request) <-chan decision.Action {
+// enqueue queues a generation; the scheduler's decision about it is sent on the channel.
+func (r *runner) enqueue(req decision.Request) <-chan decision.Action {
 	ch := make(chan decision.Action, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiters[req.ID] = ch
 	r.sched.Arrive(req)
-	r.decide()
+	r.decideLocked()
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -131,27 +132,28 @@
 	return ch
 }
 
-// token notes one output token.
+// token records one output token.
 func (r *runner) token(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sched.Token(id)
 }
 
-// leave notes that a generation ended, by itself or not.
-func (r *runner) leave(id string, byItself bool) {
+// remove records that a generation ended. whole reports that it ended with its last token.
+func (r *runner) remove(id string, whole bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if byItself {
+	if whole {
 		r.sched.Finish(id)
 	} else {
 		r.sched.Drop(id)
 	}
 	delete(r.waiters, id)
-	r.decide()
+	r.decideLocked()
 }
 
-func (r *runner) decide() {
+// decideLocked lets the scheduler decide and carries out its actions. It needs the lock.
+func (r *runner) decideLocked() {
 	for _, a := range r.sched.Decide() {
 		switch a.Kind() {
 		case decision.Admit, decision.Refuse:
@@ -161,11 +163,11 @@
 			}
 		case decision.Pause:
 			r.rec.Note(events.GenerationPaused, "", "generation", a.ID(), "reason", a.Reason())
-			r.met.pauses.Inc()
-			r.orders <- engineOrder{kind: "pause", stream: a.ID()}
+			r.metrics.pauses.Inc()
+			r.commands <- engineCommand{kind: "pause", stream: a.ID()}
 		case decision.Resume:
 			r.rec.Note(events.GenerationResumed, "", "generation", a.ID())
-			r.orders <- engineOrder{kind: "resume", stream: a.ID()}
+			r.commands <- engineCommand{kind: "resume", stream: a.ID()}
 		}
 	}
 }
@@ -183,16 +185,16 @@
 	}
 }
 
-// stream runs an admitted generation on the engine and fills its buffer. It
-// returns when the generation has its end.
+// stream runs an admitted generation on the engine and fills its buffer. It returns when the
+// generation has ended.
 func (r *runner) stream(ctx context.Context, g *generation, p generateParams) {
 	sentAt := time.Now()
-	whole, reason, broke := r.relay(ctx, g, p)
-	if broke && ctx.Err() == nil {
-		g.lostWith(r.starts.endedUnder(ctx, sentAt))
+	whole, reason, brokeOff := r.readStream(ctx, g, p)
+	if brokeOff && ctx.Err() == nil {
+		g.setEndedIncarnation(r.incarnations.endedDuring(ctx, sentAt))
 	}
-	r.leave(g.id, whole)
-	g.finishOnce(whole, reason)
+	r.remove(g.id, whole)
+	g.finish(whole, reason)
 	end, _ := g.ended()
 	r.rec.Note(events.GenerationEnded, g.request, "generation", g.id, "whole", end.Whole, "reason", end.Reason, "total", end.Total)
 }
@@ -202,23 +204,23 @@
 	errGap   = errors.New("gap in the engine's stream")
 )
 
-// relay passes on what the engine makes. broke tells that its answer broke off after the
-// engine may have begun.
-func (r *runner) relay(ctx context.Context, g *generation, p generateParams) (whole bool, reason string, broke bool) {
+// readStream adds the events of the engine's stream to the generation. brokeOff reports that the
+// stream broke off after the engine may have started the request.
+func (r *runner) readStream(ctx context.Context, g *generation, p generateParams) (whole bool, reason string, brokeOff bool) {
 	body, err := r.link.open(ctx, g.id, p)
 	if err != nil {
 		return false, reasonUpstream, !refusedConnection(err)
 	}
 	defer func() { _ = body.Close() }()
-	r.starts.answered()
+	r.incarnations.markUp()
 	last, finished := int64(0), false
 	err = readChunks(body, func(c chunk) error {
 		if c.choice == nil {
-			g.count(c.usage)
+			g.setUsage(c.usage)
 			return nil
 		}
 		if c.number > 0 && c.number <= last {
-			r.met.dropped.Inc()
+			r.metrics.dropped.Inc()
 			return nil
 		}
 		if c.number > last+1 {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -20,22 +20,22 @@
 	"github.com/sparshore/sparshore/internal/policy"
 )
 
-// Settings are the fixed numbers of one sidecar.
+// Settings are the fixed parameters of one sidecar.
 type Settings struct {
 	// Upstream is the upstream's name in the configuration.
 	Upstream string
-	// URL is where the upstream listens.
+	// URL is the upstream's base URL.
 	URL string
 	// Decision describes the engine; unused beside a plain service.
 	Decision decision.Settings
-	// Grace is how long a generation without a caller is kept.
+	// Grace is how long a generation without a receiver runs before it is cut.
 	Grace time.Duration
-	// Kept is how long the end of a stream can be asked for again.
+	// Kept is how long an ended generation can still be resumed.
 	Kept time.Duration
 	// UnackedBytes and RetainedBytes bound the buffer of one stream.
 	UnackedBytes  int
 	RetainedBytes int
-	// CallWindow is how long a call identifier is remembered.
+	// CallWindow is how long a call identifier is accepted and its record kept.
 	CallWindow time.Duration
 	// AnswerBytes bounds the kept answers of all calls.
 	AnswerBytes int
@@ -43,31 +43,30 @@
 	Skew time.Duration
 	// CallTimeout bounds one call to a plain service.
 	CallTimeout time.Duration
-	// LimitHeader is the header of the upstream's answers by which it says how many
-	// requests a second it takes; empty if it says nothing of that.
+	// LimitHeader is the header by which the upstream announces in its answers how many requests a
+	// second it accepts; empty if it announces none.
 	LimitHeader string
-	// LeavingHeader is the header of the upstream's answers by which it says that it leaves;
-	// empty if it says nothing of that.
+	// LeavingHeader is the header by which the upstream announces in its answers that it is
+	// leaving; empty if it does not announce that.
 	LeavingHeader string
 }
 
-// Server is the part of the sidecar that entries talk to.
+// Server is the sidecar's end of the protocol, which entries call.
 type Server struct {
-	settings Settings
-	identity membership.Identity
-	rec      *events.Recorder
-	met      *Metrics
-	active   func() *config.Active
-	now      func() time.Time
-	lease    *lease.Lease
-	runner   *runner
-	book     *callBook
-	service  *serviceLink
-	starts   *starts
-	takes    *takes
-	// OnBehind may be set before use; it is called when a request shows a
-	// configuration higher than the own one, and returns when that was fetched
-	// or cannot be.
+	settings     Settings
+	identity     membership.Identity
+	rec          *events.Recorder
+	metrics      *Metrics
+	active       func() *config.Active
+	now          func() time.Time
+	lease        *lease.Lease
+	runner       *runner
+	registry     *callRegistry
+	service      *serviceLink
+	incarnations *upstreamIncarnations
+	limiter      *upstreamLimiter
+	// OnBehind, if set before use, is called when a request has a newer configuration than the
+	// active one. It returns when the newer configuration was fetched or cannot be fetched.
 	OnBehind func(c *peer.Conn)
 	policies atomic.Pointer[policy.Set]
 	// after calls f in its own goroutine once d has passed.
@@ -81,55 +80,56 @@
 	generations map[string]*generation
 }
 
-// New returns a Server. active is the configuration in force, now the wall
-// clock.
-func New(settings Settings, identity membership.Identity, l *lease.Lease, rec *events.Recorder, met *Metrics, active func() *config.Active, now func() time.Time) *Server {
+// New returns a Server. active returns the configuration in force, now the wall clock time.
+func New(settings Settings, identity membership.Identity, l *lease.Lease, rec *events.Recorder,
+	metrics *Metrics, active func() *config.Active, now func() time.Time) *Server {
 	link := newEngineLink(settings.URL, l.Fence)
-	starts := newStarts(settings.URL, identity.Incarnation())
-	takes := newTakes(settings.LimitHeader, starts, rec, now)
-	takes.notices.leavingHeader = settings.LeavingHeader
-	link.heard, link.noticed = takes.heard, takes.notices.heard
+	incarnations := newUpstreamIncarnations(settings.URL, identity.Incarnation())
+	limiter := newUpstreamLimiter(settings.LimitHeader, incarnations, rec, now)
+	limiter.notices.leavingHeader = settings.LeavingHeader
+	link.onAnswer, link.onHeader = limiter.observeAnswer, limiter.notices.observeHeader
 	service := newServiceLink(settings.URL, l.Fence)
-	service.heard, service.noticed = takes.heard, takes.notices.heard
+	service.onAnswer, service.onHeader = limiter.observeAnswer, limiter.notices.observeHeader
 	return &Server{
-		settings:    settings,
-		identity:    identity,
-		rec:         rec,
-		met:         met,
-		active:      active,
-		now:         now,
-		lease:       l,
-		runner:      newRunner(link, starts, settings.Decision, rec, met, now),
-		book:        newCallBook(settings.CallWindow, settings.AnswerBytes, now),
-		service:     service,
-		starts:      starts,
-		takes:       takes,
-		after:       func(d time.Duration, f func()) { time.AfterFunc(d, f) },
-		generations: map[string]*generation{},
-	}
-}
-
-// Methods returns the handlers for entries.
+		settings:     settings,
+		identity:     identity,
+		rec:          rec,
+		metrics:      metrics,
+		active:       active,
+		now:          now,
+		lease:        l,
+		runner:       newRunner(link, incarnations, settings.Decision, rec, metrics, now),
+		registry:     newCallRegistry(settings.CallWindow, settings.AnswerBytes, now),
+		service:      service,
+		incarnations: incarnations,
+		limiter:      limiter,
+		after:        func(d time.Duration, f func()) { time.AfterFunc(d, f) },
+		generations:  map[string]*generation{},
+	}
+}
+
+// Methods returns the handlers for messages from entries.
 func (s *Server) Methods() peer.Methods {
 	return peer.Methods{
 		methodGenerate: s.generate,
 		methodResume:   s.resume,
 		methodAck:      s.ack,
 		methodCancel:   s.cancel,
-		methodInvoke:   s.answering(s.invoke),
-		methodSettle:   s.answering(s.settle),
-		methodDrain:    s.drainOrder,
+		methodInvoke:   s.countInFlight(s.invoke),
+		methodSettle:   s.countInFlight(s.settle),
+		methodDrain:    s.handleDrain,
 	}
 }
 
-// answering counts a call as in flight until its answer is out: a stop that goes on at
-// the handler's return closes the connection under the answer.
-func (s *Server) answering(h peer.Handler) peer.Handler {
+// countInFlight wraps a handler so that its call counts as in flight until the answer is written.
+// If the call counted only until the handler returns, a planned stop could close the connection
+// while the answer is being written.
+func (s *Server) countInFlight(h peer.Handler) peer.Handler {
 	return func(ctx context.Context, c *peer.Conn, raw json.RawMessage) (any, error) {
 		s.inFlight.Enter()
 		answered := false
 		defer func() {
-			// A fault leaves nothing to be sent.
+			// After a panic no answer is sent that would end the call.
 			if !answered {
 				s.inFlight.Leave()
 			}
@@ -140,7 +140,7 @@
 	}
 }
 
-// Run drives the periodic work until ctx ends.
+// Run does the periodic work until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	go s.sweepLoop(ctx)
 	s.runner.run(ctx, s.isEngine)
@@ -155,10 +155,10 @@
 	return ok && pool.Kind == config.KindEngine
 }
 
-// Draining reports whether the sidecar takes no new work.
+// Draining reports whether the sidecar accepts no new work.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// Drain takes no new work from now on.
+// Drain makes the sidecar refuse new work from now on.
 func (s *Server) Drain(by string) {
 	if s.draining.CompareAndSwap(false, true) {
 		s.rec.Note(events.DrainStarted, "", "by", by)
@@ -170,9 +170,9 @@
 	return s.inFlight.Idle(ctx) && s.delivered(ctx)
 }
 
-const deliveredPoll = 20 * time.Millisecond
+const deliveredPollPeriod = 20 * time.Millisecond
 
-// delivered waits until every held stream has its end acknowledged.
+// delivered waits until the end of every stream that has a receiver is acknowledged.
 func (s *Server) delivered(ctx context.Context) bool {
 	for {
 		if s.undelivered() == 0 {
@@ -181,20 +181,22 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(deliveredPoll):
+		case <-time.After(deliveredPollPeriod):
 		}
 	}
 }
 
+// undelivered returns the number of streams whose end a receiver has yet to acknowledge.
 func (s *Server) undelivered() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for _, g := range s.generations {
 		g.mu.Lock()
-		// The receiver lets go once it has the end, which may follow the last token. It
-		// takes no end of a stream without a token: it sends the request elsewhere.
-		if g.holder != nil && g.first+int64(len(g.choices)) > 1 {
+		// The receiver detaches when it acknowledges the end, which may follow the last token. A
+		// stream without a token is not counted: its end is not acknowledged, since the entry sends
+		// the request to another upstream.
+		if g.receiver != nil && g.first+int64(len(g.choices)) > 1 {
 			n++
 		}
 		g.mu.Unlock()
@@ -205,13 +207,13 @@
 // Load returns the load for heartbeats and replies.
 func (s *Server) Load() membership.Load {
 	load := s.runner.load()
-	if at := s.takes.opensAt(); at.After(s.now()) {
+	if at := s.limiter.opensAt(); at.After(s.now()) {
 		load.OpensMS = at.UnixMilli()
 	}
 	return load
 }
 
-func (s *Server) drainOrder(_ context.Context, _ *peer.Conn, raw json.RawMessage) (any, error) {
+func (s *Server) handleDrain(_ context.Context, _ *peer.Conn, raw json.RawMessage) (any, error) {
 	var p drainParams
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, fmt.Errorf("drain: %w", err)
@@ -220,7 +222,7 @@
 	return struct{}{}, nil
 }
 
-// errParams is wrapped when a message cannot be read.
+// errParams is wrapped when a message cannot be decoded.
 var errParams = errors.New("malformed message")
 
 func (s *Server) generate(ctx context.Context, c *peer.Conn, raw json.RawMessage) (any, error) {
@@ -229,7 +231,7 @@
 		return nil, fmt.Errorf("%w: generate: %v", errParams, err)
 	}
 	s.rec.Observe(p.Stamp)
-	if s.behind(c, p.Version) {
+	if s.configBehind(c, p.Version) {
 		return s.refused(p.Request, &refusal{Reason: reasonBehind, Elsewhere: true}), nil
 	}
 	if r := s.refuseAtOnce(p); r != nil {
@@ -243,19 +245,19 @@
 	id := generationID(s.settings.Upstream, s.identity.Incarnation(), s.serial.Add(1))
 	g := newGeneration(id, p.Request, p.Account, bufferLimits{unacked: s.settings.UnackedBytes, retained: s.settings.RetainedBytes})
 	d := &delivery{sub: p.Sub}
-	act, r := s.begin(c, g, d, p)
+	act, r := s.admit(c, g, d, p)
 	if r != nil {
 		s.inFlight.Leave()
-		s.forget(c, g, d)
+		s.discard(c, g, d)
 		return s.refused(p.Request, r), nil
 	}
 	s.rec.Note(events.GenerationAdmitted, p.Request, "generation", id, "reason", act.Reason())
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	g.mu.Lock()
 	g.cancel = cancel
-	late := g.end != nil
+	endedEarly := g.end != nil
 	g.mu.Unlock()
-	if late {
+	if endedEarly {
 		cancel()
 	}
 	go func() {
@@ -263,15 +265,15 @@
 		defer cancel()
 		s.runGuarded(runCtx, g, p)
 		end, _ := g.ended()
-		s.met.generations.WithLabelValues(endLabel(end)).Inc()
-		s.met.tokens.Add(float64(end.Output))
+		s.metrics.generations.WithLabelValues(endLabel(end)).Inc()
+		s.metrics.tokens.Add(float64(end.Output))
 	}()
 	go s.deliver(c, g, d)
 	return generateResult{Generation: id, Load: s.Load(), Stamp: s.rec.Now()}, nil
 }
 
-// runGuarded runs a generation; a fault of this program over it ends the generation only. It
-// would end the sidecar otherwise, and the next one to which the request is sent.
+// runGuarded runs a generation and recovers from a panic, which then ends only this generation.
+// Otherwise the request would crash this sidecar, and then the next one to which it is retried.
 func (s *Server) runGuarded(ctx context.Context, g *generation, p generateParams) {
 	err := guard.Do(func() error {
 		s.runner.stream(ctx, g, p)
@@ -279,14 +281,14 @@
 	})
 	if err != nil {
 		s.rec.Note(events.HandlerPanicked, p.Request, "generation", g.id, "error", err)
-		g.finishOnce(false, reasonFault)
-		s.runner.leave(g.id, false)
+		g.finish(false, reasonFault)
+		s.runner.remove(g.id, false)
 	}
 }
 
-// begin gives the generation its receiver and waits for the decision.
-func (s *Server) begin(c *peer.Conn, g *generation, d *delivery, p generateParams) (decision.Action, *refusal) {
-	if !hold(c, g, d, 0) {
+// admit gives the generation its receiver and waits for the scheduler's decision.
+func (s *Server) admit(c *peer.Conn, g *generation, d *delivery, p generateParams) (decision.Action, *refusal) {
+	if !subscribe(c, g, d, 0) {
 		return decision.Action{}, &refusal{Reason: reasonDetached}
 	}
 	s.mu.Lock()
@@ -295,14 +297,15 @@
 	return s.queue(c, g, p)
 }
 
-// reasonBehind is given when the sidecar has not the request's configuration
-// yet: what is in force at an entry must not be undone by a sidecar.
+// reasonBehind is the reason for a refusal when the sidecar does not have the request's
+// configuration yet. To run the request under an older one would undo a change that is already in
+// force at the entry.
 const reasonBehind = "configuration is not in force here yet"
 
-// behind reports whether the own configuration is lower than a request's, after
-// it has tried to fetch the higher one: a sidecar that has just restarted gets
-// requests before it knows any.
-func (s *Server) behind(c *peer.Conn, v config.Version) bool {
+// configBehind reports whether the active configuration is older than v, the version of a request.
+// It first tries to fetch the newer one, because a sidecar that has just restarted gets requests
+// before it has a configuration.
+func (s *Server) configBehind(c *peer.Conn, v config.Version) bool {
 	if v <= s.active().Version() {
 		return false
 	}
@@ -334,60 +337,63 @@
 		return &refusal{Reason: "no configuration yet", Elsewhere: true}
 	case p.StartBy > 0 && s.now().UnixMilli() >= p.StartBy:
 		return &refusal{Reason: "deadline has passed"}
-	case s.takes.opensAt().After(s.now()):
-		return s.refuseBeyond(s.takes.opensAt())
+	case s.limiter.opensAt().After(s.now()):
+		return s.refuseRateLimited(s.limiter.opensAt())
 	default:
 		return nil
 	}
 }
 
-// refuseBeyond refuses a generation beyond what the engine takes.
-func (s *Server) refuseBeyond(opensAt time.Time) *refusal {
-	return &refusal{Reason: takesNoMore, RetryAt: opensAt.UnixMilli(), Elsewhere: true}
+// refuseRateLimited refuses a generation because the engine accepts no more requests before
+// opensAt.
+func (s *Server) refuseRateLimited(opensAt time.Time) *refusal {
+	return &refusal{Reason: reasonRateLimited, RetryAt: opensAt.UnixMilli(), Elsewhere: true}
 }
 
-// queue waits for the decision. A caller that goes away leaves the queue.
+// queue waits for the scheduler's decision. A generation whose caller cancels or disconnects is
+// removed from the queue.
 func (s *Server) queue(c *peer.Conn, g *generation, p generateParams) (decision.Action, *refusal) {
 	s.rec.Note(events.GenerationQueued, p.Request, "generation", g.id)
 	gone := make(chan struct{})
 	g.mu.Lock()
 	g.cancel = sync.OnceFunc(func() { close(gone) })
 	g.mu.Unlock()
-	req, admitted := s.request(g, p)
+	req, admitted := s.decisionRequest(g, p)
 	if !admitted {
-		return decision.Action{}, &refusal{Reason: "policy", RetryAt: s.now().Add(policyRetry).UnixMilli()}
+		return decision.Action{}, &refusal{Reason: "policy", RetryAt: s.now().Add(policyRetryDelay).UnixMilli()}
 	}
-	decided := s.runner.arrive(req)
+	decided := s.runner.enqueue(req)
 	select {
 	case a := <-decided:
 		if a.Kind() == decision.Refuse {
 			return a, &refusal{Reason: a.Reason(), RetryAt: a.RetryAt().UnixMilli(), Elsewhere: true}
 		}
 		if end, _ := g.ended(); end != nil {
-			s.runner.leave(g.id, false)
+			s.runner.remove(g.id, false)
 			return a, &refusal{Reason: end.Reason}
 		}
-		// The engine gets it now, however long it was queued.
-		if opensAt, ok := s.takes.take(context.Background()); !ok {
-			s.runner.leave(g.id, false)
-			return a, s.refuseBeyond(opensAt)
+		// The rate limit counts requests when they are sent to the engine, so the permit is taken
+		// only after the wait in the queue.
+		if opensAt, ok := s.limiter.takePermit(context.Background()); !ok {
+			s.runner.remove(g.id, false)
+			return a, s.refuseRateLimited(opensAt)
 		}
 		return a, nil
 	case <-gone:
-		s.runner.leave(g.id, false)
+		s.runner.remove(g.id, false)
 		return decision.Action{}, &refusal{Reason: reasonCancelled}
 	case <-c.Done():
-		s.runner.leave(g.id, false)
+		s.runner.remove(g.id, false)
 		return decision.Action{}, &refusal{Reason: reasonDetached}
 	}
 }
 
-// policyRetry is when to come back after a policy's refusal.
-const policyRetry = 5 * time.Second
+// policyRetryDelay is the retry delay after a refusal by the pool's policy.
+const policyRetryDelay = 5 * time.Second
 
-// request turns a message into what the decision sees. admitted is false when
-// the pool's policy refuses it.
-func (s *Server) request(g *generation, p generateParams) (req decision.Request, admitted bool) {
+// decisionRequest turns a message into the scheduler's request. admitted is false when the pool's
+// policy refuses it.
+func (s *Server) decisionRequest(g *generation, p generateParams) (req decision.Request, admitted bool) {
 	r := decision.Request{ID: g.id, Account: p.Account, Prompt: p.Prompt, MaxTokens: p.MaxTokens}
 	if p.StartBy > 0 {
 		r.StartBy = time.UnixMilli(p.StartBy)
@@ -395,21 +401,22 @@
 	if a, ok := s.active().Config().Account(p.Account); ok {
 		r.Weight = a.Weight
 	}
-	v := s.verdict(p, r.Weight)
+	v := s.evaluatePolicy(p, r.Weight)
 	r.Class, r.Rank, r.GiveWay = v.Class, v.Rank, v.GiveWay
 	return r, v.Admit
 }
 
-// Compile takes the policies of a configuration into use; it is to be called
-// with each one that comes into force. Staging has compiled them before.
+// Compile puts the policies of a configuration into use; it must be called with each configuration
+// that comes into force. An error is ignored because the policies were already compiled when the
+// configuration was staged.
 func (s *Server) Compile(c *config.Config) {
 	if set, err := policy.CompileAll(c); err == nil {
 		s.policies.Store(&set)
 	}
 }
 
-// verdict runs the policy of the upstream's pool.
-func (s *Server) verdict(p generateParams, weight float64) policy.Verdict {
+// evaluatePolicy runs the policy of the upstream's pool.
+func (s *Server) evaluatePolicy(p generateParams, weight float64) policy.Verdict {
 	var pol *policy.Policy
 	if pool, ok := s.active().Config().PoolOf(s.settings.Upstream); ok {
 		if set := s.policies.Load(); set != nil {
@@ -422,7 +429,7 @@
 		UsedPart: l.UsedPart(), Running: l.Running, Waiting: l.Waiting, Hour: policy.HourOf(s.now()),
 	})
 	for _, name := range v.Failed {
-		s.met.policyFailures.WithLabelValues(name).Inc()
+		s.metrics.policyFailures.WithLabelValues(name).Inc()
 		s.rec.Note(events.PolicyFailed, p.Request, "program", name)
 	}
 	return v
@@ -430,23 +437,24 @@
 
 type connKey struct{}
 
-// connStreams are the deliveries of one connection by subscription number.
+// connStreams holds the streams that are delivered over one connection, by subscription number.
 type connStreams struct {
 	out  *outbox
 	mu   sync.Mutex
-	subs map[int64]heldStream
-	// lost tells that the connection ended, and that what it held was let go of.
+	subs map[int64]subscription
+	// lost is set when the connection has ended and its streams were detached.
 	lost bool
 }
 
-type heldStream struct {
+// subscription is the delivery of a generation to a connection.
+type subscription struct {
 	g *generation
 	d *delivery
 }
 
-// Open prepares a new connection from an entry; it is to be called for each.
+// Open prepares a new connection from an entry; it must be called for each.
 func (s *Server) Open(c *peer.Conn) {
-	cs := &connStreams{subs: map[int64]heldStream{}, out: newOutbox()}
+	cs := &connStreams{subs: map[int64]subscription{}, out: newOutbox()}
 	c.Attach(connKey{}, cs)
 	go cs.out.run(c)
 	go func() {
@@ -460,65 +468,66 @@
 	return cs
 }
 
-// hold makes d the receiver of g from the offset after the given one. It returns false
-// when that is no longer kept, or when the connection has ended: what it holds is let go
-// of only once.
-func hold(c *peer.Conn, g *generation, d *delivery, after int64) bool {
+// subscribe makes d the receiver of g, starting after the given offset. It returns false when the
+// generation is no longer kept from there, or when the connection has ended: the streams of a
+// connection are detached only once, when it ends, so a stream added later would stay attached.
+func subscribe(c *peer.Conn, g *generation, d *delivery, after int64) bool {
 	cs := streamsOf(c)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if cs.lost || !g.attach(d, after) {
 		return false
 	}
-	cs.subs[d.sub] = heldStream{g: g, d: d}
+	cs.subs[d.sub] = subscription{g: g, d: d}
 	return true
 }
 
-func (s *Server) forget(c *peer.Conn, g *generation, d *delivery) {
+// discard removes a generation that was refused after it had got its receiver.
+func (s *Server) discard(c *peer.Conn, g *generation, d *delivery) {
 	s.mu.Lock()
 	delete(s.generations, g.id)
 	s.mu.Unlock()
-	s.release(c, d)
+	s.unsubscribe(c, d)
 }
 
-func (s *Server) release(c *peer.Conn, d *delivery) {
+func (s *Server) unsubscribe(c *peer.Conn, d *delivery) {
 	cs := streamsOf(c)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	delete(cs.subs, d.sub)
 }
 
-func lookup(c *peer.Conn, sub int64) (heldStream, bool) {
+func lookupSubscription(c *peer.Conn, number int64) (subscription, bool) {
 	cs := streamsOf(c)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	h, ok := cs.subs[sub]
-	return h, ok
+	sub, ok := cs.subs[number]
+	return sub, ok
 }
 
 func (s *Server) connLost(c *peer.Conn) {
 	cs := streamsOf(c)
 	cs.mu.Lock()
 	cs.lost = true
-	lost := make([]heldStream, 0, len(cs.subs))
-	for _, h := range cs.subs {
-		lost = append(lost, h)
+	lost := make([]subscription, 0, len(cs.subs))
+	for _, sub := range cs.subs {
+		lost = append(lost, sub)
 	}
 	cs.mu.Unlock()
-	for _, h := range lost {
-		s.detach(h)
+	for _, sub := range lost {
+		s.detach(sub)
 	}
 }
 
-// detach starts the time in which a caller may come back.
-func (s *Server) detach(h heldStream) {
-	if !h.g.detach(h.d) {
+// detach starts the grace period in which the caller may resume the stream.
+func (s *Server) detach(sub subscription) {
+	if !sub.g.detach(sub.d) {
 		return
 	}
-	s.after(s.settings.Grace, func() { h.g.abandon(h.d, reasonDetached) })
+	s.after(s.settings.Grace, func() { sub.g.abandon(sub.d, reasonDetached) })
 }
 
-// deliver sends frames to one entry until the stream's end or a newer receiver.
+// deliver sends frames to one entry until the stream's end or until a newer receiver attaches.
 func (s *Server) deliver(c *peer.Conn, g *generation, d *delivery) {
 	for {
 		note, wait, ok := g.frame(d)
@@ -549,11 +558,11 @@
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, fmt.Errorf("%w: ack: %v", errParams, err)
 	}
-	if h, ok := lookup(c, p.Sub); ok && h.g.ack(h.d, p.Upto) {
-		// All of it was delivered: the connection lets go of it, and it is
-		// kept only as long as a caller may ask for its end again.
-		h.g.detach(h.d)
-		s.release(c, h.d)
+	if sub, ok := lookupSubscription(c, p.Sub); ok && sub.g.ack(sub.d, p.Upto) {
+		// Everything was delivered. The connection drops its reference, and the generation is kept
+		// only as long as a caller may ask for its end again.
+		sub.g.detach(sub.d)
+		s.unsubscribe(c, sub.d)
 	}
 	return nil, nil
 }
@@ -563,14 +572,14 @@
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, fmt.Errorf("%w: cancel: %v", errParams, err)
 	}
-	if h, ok := lookup(c, p.Sub); ok && h.g.abandon(h.d, reasonCancelled) {
-		s.release(c, h.d)
+	if sub, ok := lookupSubscription(c, p.Sub); ok && sub.g.abandon(sub.d, reasonCancelled) {
+		s.unsubscribe(c, sub.d)
 	}
 	return nil, nil
 }
 
-// ErrNoGeneration is returned to a caller that asks for a stream which is not
-// kept here, or not from that offset on.
+// ErrNoGeneration is returned to a caller that asks for a generation that is not kept here, or not
+// from that offset on.
 var ErrNoGeneration = errors.New("no such generation or offset")
 
 func (s *Server) resume(_ context.Context, c *peer.Conn, raw json.RawMessage) (any, error) {
@@ -585,7 +594,7 @@
 		return nil, ErrNoGeneration
 	}
 	d := &delivery{sub: p.Sub}
-	if !hold(c, g, d, p.After) {
+	if !subscribe(c, g, d, p.After) {
 		return nil, ErrNoGeneration
 	}
 	s.rec.Note(events.StreamResumed, g.request, "generation", g.id, "after", p.After)
@@ -593,11 +602,12 @@
 	return generateResult{Generation: g.id, Load: s.Load(), Stamp: s.rec.Now()}, nil
 }
 
-const generationSweep = time.Second
+const generationSweepPeriod = time.Second
 
-// sweepLoop forgets ended generations when nobody can ask for them any more.
+// sweepLoop periodically deletes ended generations that can no longer be resumed, and rate limits
+// of earlier incarnations.
 func (s *Server) sweepLoop(ctx context.Context) {
-	tick := time.NewTicker(generationSweep)
+	tick := time.NewTicker(generationSweepPeriod)
 	defer tick.Stop()
 	for {
 		select {
@@ -605,7 +615,7 @@
 			return
 		case <-tick.C:
 			s.sweep()
-			s.takes.sweep()
+			s.limiter.sweep()
 		}
 	}
 }
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -21,21 +21,21 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// engineBench is a sidecar before a small engine, with one entry's connection.
-type engineBench struct {
+// engineFixture is a sidecar in front of a small engine, with the connection of one entry.
+type engineFixture struct {
 	server *Server
 	conn   *peer.Conn
-	// notes are the frames the entry's side receives.
+	// notes gets the frames that the entry receives.
 	notes chan tokensNote
-	// cancelled is closed when the engine's caller goes away.
+	// cancelled is closed when the request to the engine is cancelled.
 	cancelled chan struct{}
 }
 
-// newEngineBench serves streams of the given number of tokens; with endless the
-// engine goes on until it is cancelled.
-func newEngineBench(t *testing.T, tokens int, endless bool) *engineBench {
+// newEngineFixture returns a fixture whose engine streams the given number of tokens. With endless
+// the streams then stay open until they are cancelled.
+func newEngineFixture(t *testing.T, tokens int, endless bool) *engineFixture {
 	t.Helper()
-	b := &engineBench{notes: make(chan tokensNote, 1000), cancelled: make(chan struct{})}
+	b := &engineFixture{notes: make(chan tokensNote, 1000), cancelled: make(chan struct{})}
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for i := range tokens {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"text\":\"%d\"}]}\n\n", i+1, i+1)
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	active := config.NewActive(cfg, 1, true, time.UnixMilli(1))
-	l := lease.New(tableOf(&platform.Row{}), "u", "i", lease.Settings{Term: time.Hour}, time.Now)
+	l := lease.New(oneRowTable(&platform.Row{}), "u", "i", lease.Settings{Term: time.Hour}, time.Now)
 	b.server = New(Settings{
 		Upstream: "u", URL: engine.URL, Decision: decision.Settings{Blocks: 1000, BlockTokens: 16},
 		Grace: time.Minute, Kept: time.Minute, UnackedBytes: 1 << 20, RetainedBytes: 1 << 17, CallWindow: time.Hour,
@@ -75,7 +75,7 @@
 	return b
 }
 
-func (b *engineBench) receive(_ context.Context, _ *peer.Conn, raw json.RawMessage) (any, error) {
+func (b *engineFixture) receive(_ context.Context, _ *peer.Conn, raw json.RawMessage) (any, error) {
 	var notes []tokensNote
 	if err := json.Unmarshal(raw, &notes); err != nil {
 		return nil, err
@@ -86,14 +86,14 @@
 	return nil, nil
 }
 
-// held returns how many streams the sidecar keeps for its connections.
-func (b *engineBench) held() int {
+// receivedStreams returns the number of streams that have a receiver.
+func (b *engineFixture) receivedStreams() int {
 	b.server.mu.Lock()
 	defer b.server.mu.Unlock()
 	n := 0
 	for _, g := range b.server.generations {
 		g.mu.Lock()
-		if g.holder != nil {
+		if g.receiver != nil {
 			n++
 		}
 		g.mu.Unlock()
@@ -101,11 +101,10 @@
 	return n
 }
 
-// TestDeliveredStreamIsLetGo runs streams to their end and checks that the
-// connection keeps nothing of them. Found by reading: each finished stream
-// stayed with its connection, with all its tokens, for as long as that lived.
-func TestDeliveredStreamIsLetGo(t *testing.T) {
-	b := newEngineBench(t, 40, false)
+// A stream that was delivered to its end must be released. Otherwise each finished stream would
+// stay with its connection, with all its tokens, for as long as the connection lives.
+func TestDeliveredStreamIsReleased(t *testing.T) {
+	b := newEngineFixture(t, 40, false)
 	const streams = 5
 	for sub := range int64(streams) {
 		var r generateResult
@@ -123,19 +122,19 @@
 		}
 	}
 	deadline := time.Now().Add(10 * time.Second)
-	for b.held() > 0 && time.Now().Before(deadline) {
+	for b.receivedStreams() > 0 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
-	if n := b.held(); n > 0 {
-		t.Errorf("%d delivered streams are still held", n)
+	if n := b.receivedStreams(); n > 0 {
+		t.Errorf("%d delivered streams still have a receiver", n)
 	}
 }
 
-// TestStreamThatNobodyTakesIsCancelled lets frames arrive at an entry that gave
-// the request up before the sidecar had it, as after a freeze: the entry's
-// answer to an unknown stream is to cancel it.
-func TestStreamThatNobodyTakesIsCancelled(t *testing.T) {
-	b := newEngineBench(t, 3, true)
+// Frames arrive at an entry that gave up the request before the sidecar received it, for example
+// after a pause of the process. The entry must cancel the unknown stream, so that the engine does
+// not go on with it.
+func TestStreamWithoutAReceiverIsCancelled(t *testing.T) {
+	b := newEngineFixture(t, 3, true)
 	client := NewClient(events.Nop())
 	var r generateResult
 	if err := b.conn.Call(t.Context(), methodGenerate, generateParams{Sub: 77, Path: "/", Prompt: 10}, &r); err != nil || r.Refused != nil {
@@ -152,6 +151,6 @@
 	select {
 	case <-b.cancelled:
 	case <-time.After(10 * time.Second):
-		t.Error("the engine still works for nobody")
+		t.Error("the engine still runs the stream")
 	}
 }
--- a/internal/sidecar/starts.go
+++ b/internal/sidecar/starts.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// reachWithin bounds a look at whether the upstream listens: it is on the same VM.
-const reachWithin = time.Second
+// probeTimeout bounds a probe of whether the upstream listens. It is short because the upstream is
+// on the same VM.
+const probeTimeout = time.Second
 
-// starts tells the starts of the upstream beside a sidecar apart. The sidecar lives on when
-// its upstream ends, and nothing else says that the upstream began anew.
-type starts struct {
-	incarnation string
-	dial        func(ctx context.Context) (net.Conn, error)
+// upstreamIncarnations tells the incarnations of the upstream apart. The sidecar keeps running when
+// its upstream ends, and nothing else reports that the upstream was restarted. The name of an
+// incarnation is the sidecar's own incarnation and the number of restarts.
+type upstreamIncarnations struct {
+	sidecarIncarnation string
+	dial               func(ctx context.Context) (net.Conn, error)
 
 	mu sync.Mutex
-	// n counts the starts that were seen; down is set from the end of one until the
-	// upstream is there again.
-	n      int
-	down   bool
-	downAt time.Time
+	// restarts counts the restarts that were observed. down is set from the end of an incarnation
+	// until the upstream is reachable again.
+	restarts int
+	down     bool
+	downAt   time.Time
 }
 
-// newStarts returns a starts for the upstream at a URL.
-func newStarts(base, incarnation string) *starts {
+// newUpstreamIncarnations tracks the upstream at the URL base.
+func newUpstreamIncarnations(base, sidecarIncarnation string) *upstreamIncarnations {
 	address := base
 	if u, err := url.Parse(base); err == nil {
 		address = u.Host
@@ -35,66 +37,71 @@
 			address = net.JoinHostPort(u.Hostname(), "http")
 		}
 	}
-	d := &net.Dialer{Timeout: reachWithin}
-	return &starts{incarnation: incarnation, dial: func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }}
+	d := &net.Dialer{Timeout: probeTimeout}
+	return &upstreamIncarnations{sidecarIncarnation: sidecarIncarnation,
+		dial: func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }}
 }
 
-// endedUnder is ended for a request that was sent to the upstream at a time. One that was sent when
-// it was down ran nowhere, however its connection ended: it would stand beside those that had
-// run at the start that ended, and what ended that one be judged by it.
-func (s *starts) endedUnder(ctx context.Context, sentAt time.Time) string {
-	s.mu.Lock()
-	crossed := !s.down || !s.downAt.Before(sentAt)
-	s.mu.Unlock()
-	if !crossed {
+// endedDuring is probeEnded for a request that was sent at sentAt. A request that was sent while
+// the upstream was down did not run, however its connection ended. It must not be reported together
+// with the requests that ran on the incarnation that ended, since the suspects for that end are
+// judged by those.
+func (u *upstreamIncarnations) endedDuring(ctx context.Context, sentAt time.Time) string {
+	u.mu.Lock()
+	sentWhileUp := !u.down || !u.downAt.Before(sentAt)
+	u.mu.Unlock()
+	if !sentWhileUp {
 		return ""
 	}
-	return s.ended(ctx)
+	return u.probeEnded(ctx)
 }
 
-// ended returns the name of the start that ended, after an answer of the upstream broke off:
-// the address of one that ended refuses connections. It is empty if the upstream listens, or
-// if that is not known.
-func (s *starts) ended(ctx context.Context) string {
-	c, err := s.dial(ctx)
+// probeEnded returns the name of the incarnation that ended. It is called when an answer of the
+// upstream broke off, or to see whether a leaving upstream is gone. An upstream that has ended
+// refuses connections; the result is empty if it accepts them or if its state is unknown.
+func (u *upstreamIncarnations) probeEnded(ctx context.Context) string {
+	c, err := u.dial(ctx)
 	if err == nil {
 		_ = c.Close()
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	switch {
 	case err == nil:
-		s.up()
+		u.markUpLocked()
 		return ""
 	case !refusedConnection(err):
 		return ""
 	}
-	if !s.down {
-		s.down, s.downAt = true, time.Now()
+	if !u.down {
+		u.down, u.downAt = true, time.Now()
 	}
-	return s.name()
+	return u.currentLocked()
 }
 
-// current returns the name of the latest start that was seen.
-func (s *starts) current() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.name()
+// current returns the name of the latest incarnation that was observed.
+func (u *upstreamIncarnations) current() string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.currentLocked()
 }
 
-// name returns the name of the latest start that was seen. It needs the lock.
-func (s *starts) name() string { return s.incarnation + "#" + strconv.Itoa(s.n) }
+// currentLocked is current for a caller that holds the lock.
+func (u *upstreamIncarnations) currentLocked() string {
+	return u.sidecarIncarnation + "#" + strconv.Itoa(u.restarts)
+}
 
-// answered notes that the upstream is there.
-func (s *starts) answered() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.up()
+// markUp records that the upstream is reachable.
+func (u *upstreamIncarnations) markUp() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.markUpLocked()
 }
 
-// up notes that another start is there if one has ended. It needs the lock.
-func (s *starts) up() {
-	if s.down {
-		s.n, s.down = s.n+1, false
+// markUpLocked records that the upstream is reachable, and counts a restart if it was down. It
+// needs the lock.
+func (u *upstreamIncarnations) markUpLocked() {
+	if u.down {
+		u.restarts, u.down = u.restarts+1, false
 	}
 }
--- a/internal/sidecar/starts_test.go
+++ b/internal/sidecar/starts_test.go
@@ -5,36 +5,36 @@
 	"testing"
 )
 
-// TestStartsOfTheUpstream covers how a sidecar tells that its upstream ended under a request,
-// and the starts of it apart.
-func TestStartsOfTheUpstream(t *testing.T) {
+// The sidecar must notice that its upstream ended while it ran a request, and tell the incarnations
+// of the upstream apart.
+func TestUpstreamIncarnations(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := l.Addr().String()
-	s := newStarts("http://"+address, "inc")
+	s := newUpstreamIncarnations("http://"+address, "inc")
 	expect := func(what, want string) {
 		t.Helper()
-		if got := s.ended(t.Context()); got != want {
+		if got := s.probeEnded(t.Context()); got != want {
 			t.Errorf("%s: %q, want %q", what, got, want)
 		}
 	}
-	expect("it listens", "")
+	expect("upstream listens", "")
 	_ = l.Close()
-	expect("it ended", "inc#0")
-	expect("another answer broke off with it", "inc#0")
+	expect("upstream ended", "inc#0")
+	expect("another answer broke off at the same end", "inc#0")
 	if l, err = net.Listen("tcp4", address); err != nil {
 		t.Fatal(err)
 	}
-	s.answered()
-	expect("it is back", "")
+	s.markUp()
+	expect("upstream listens again", "")
 	_ = l.Close()
-	expect("the next start ended", "inc#1")
+	expect("second incarnation ended", "inc#1")
 	if l, err = net.Listen("tcp4", address); err != nil {
 		t.Fatal(err)
 	}
-	expect("it is back, and breaks off an answer", "")
+	expect("upstream listens again, but an answer broke off", "")
 	_ = l.Close()
-	expect("the third start ended", "inc#2")
+	expect("third incarnation ended", "inc#2")
 }
--- a/internal/sidecar/wire.go
+++ b/internal/sidecar/wire.go
@@ -1,7 +1,7 @@
-// Package sidecar is the only door to one upstream. The server half runs
-// beside the upstream: it queues and admits generations, keeps their tokens
-// until they are delivered, and runs calls that may not be repeated at most
-// once. The client half is used by entries.
+// Package sidecar puts a server process in front of one upstream, and all requests to the upstream
+// go through it. Server runs beside the upstream: it queues and admits generations, buffers their
+// tokens until they are delivered, and runs a call that may not be repeated at most once. Client is
+// the other end, with which entries start generations, receive their tokens and run calls.
 package sidecar
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/sparshore/sparshore/internal/membership"
 )
 
-// The methods between entry and sidecar.
+// The methods of the protocol between entry and sidecar.
 const (
 	methodGenerate = "sidecar.generate"
 	methodResume   = "sidecar.resume"
@@ -41,11 +41,11 @@
 	Stamp       events.Stamp    `json:"stamp"`
 }
 
-// refusal says why nothing ran and when to come back.
+// refusal says why nothing ran and when to retry.
 type refusal struct {
 	Reason  string `json:"reason"`
 	RetryAt int64  `json:"retry_at,omitempty"`
-	// Elsewhere is set when another upstream may do better.
+	// Elsewhere is set when another upstream may accept the request.
 	Elsewhere bool `json:"elsewhere,omitempty"`
 }
 
@@ -56,8 +56,8 @@
 	Stamp      events.Stamp    `json:"stamp"`
 }
 
-// tokensNote carries the choices of consecutive offsets, the first numbered
-// First; offsets count from 1.
+// tokensNote carries choices with consecutive offsets. First is the offset of the first one;
+// offsets count from 1.
 type tokensNote struct {
 	Sub        int64             `json:"sub"`
 	Generation string            `json:"generation"`
@@ -71,13 +71,14 @@
 	Whole bool `json:"whole"`
 	// Reason is empty for a whole generation.
 	Reason string `json:"reason,omitempty"`
-	// EndedWith is the start of the engine that ended under the generation, empty for none.
+	// EndedWith is the incarnation of the engine that ended while it ran the generation; empty if
+	// none did.
 	EndedWith string `json:"ended_with,omitempty"`
 	// Total is the number of offsets of the generation.
 	Total int64 `json:"total"`
 	// Output is the number of output tokens.
 	Output int64 `json:"output"`
-	// Usage is the engine's own count, if it gave one.
+	// Usage is the engine's own token count, if it gave one.
 	Usage json.RawMessage `json:"usage,omitempty"`
 }
 
@@ -111,7 +112,7 @@
 	StartBy    int64          `json:"start_by"`
 }
 
-// invokeResult answers invoke and settle.
+// invokeResult is the reply to invoke and settle.
 type invokeResult struct {
 	Outcome Outcome      `json:"outcome"`
 	Reason  string       `json:"reason,omitempty"`
@@ -120,9 +121,10 @@
 	Body    []byte       `json:"body,omitempty"`
 	RetryAt int64        `json:"retry_at,omitempty"`
 	Stamp   events.Stamp `json:"stamp"`
-	// EndedWith is the start of the service that ended under the call, empty for none.
+	// EndedWith is the incarnation of the service that ended while it ran the call; empty if none
+	// did.
 	EndedWith string `json:"ended_with,omitempty"`
-	// Load tells of a service that takes no more now; nil otherwise.
+	// Load is set only if the service accepts no more calls now.
 	Load *membership.Load `json:"load,omitempty"`
 }
 
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -7,13 +7,13 @@
 . scripts/mutant.sh
 
 calls=internal/sidecar/calls.go
-mutant call-record internal/sidecar/callbook.go 's/if !ok \{\n\t\tc = &call\{state: callStarted/if !ok || ok {\n\t\tc = &call{state: callStarted/' internal/sidecar TestOfTwoCopies
-mutant call-age $calls 's/case issued\.Before\(safeFrom\.Add\(s\.settings\.Skew\)\):/case false:/' internal/sidecar TestWhetherAnIncarnation
+mutant call-record internal/sidecar/callbook.go 's/if !ok \{\n\t\tc = &call\{state: callStarted/if !ok || ok {\n\t\tc = &call{state: callStarted/' internal/sidecar TestSecondCopyOfACall
+mutant call-age $calls 's/case issued\.Before\(exclusiveSince\.Add\(s\.settings\.Skew\)\):/case false:/' internal/sidecar TestIncarnationRunsOnlyKeys
 mutant call-lease $calls 's/if !s\.lease\.Valid\(\) \{\n\t\treturn unknown/if false {\n\t\treturn unknown/' internal/sidecar TestSettleWithoutLease
 mutant call-last-look $calls 's/if !id\.Ticket\(\) && !s\.lease\.Valid\(\)/if false/' internal/sidecar TestDeadlineAndLease
 mutant call-deadline $calls 's/if p\.StartBy > 0 && s\.now/if false && s.now/' internal/sidecar TestDeadlineAndLease
-mutant call-ticket-bound $calls 's/ \|\| id\.Incarnation\(\) != s\.identity\.Incarnation\(\)//' internal/sidecar TestWhetherAnIncarnation
-mutant settle-tombstone internal/sidecar/callbook.go 's/c = &call\{state: callTombstone, forget[^\n]*\n\t\tb\.calls\[id\] = c/c = &call{state: callTombstone}/' internal/sidecar TestSettleBars
+mutant call-ticket-bound $calls 's/ \|\| id\.Incarnation\(\) != s\.identity\.Incarnation\(\)//' internal/sidecar TestIncarnationRunsOnlyKeys
+mutant settle-tombstone internal/sidecar/callbook.go 's/c = &call\{state: callTombstone, expiresAt[^\n]*\n\t\tr\.calls\[id\] = c/c = &call{state: callTombstone}/' internal/sidecar TestSettleBars
 mutant stream-generation internal/sidecar/client.go 's/ \|\| n\.Generation != s\.generation//' internal/sidecar TestDeliveryOver
 mutant stream-offset internal/sidecar/client.go 's/ \|\| n\.First != expected/ || expected < 0/' internal/sidecar TestDeliveryOver
 
@@ -25,7 +25,7 @@
 mutant rollout-base internal/rollout/coordinator.go "s/if h\.Version != ch\.Base \{/if false {/" internal/rollout TestChangeFromAnOlder
 mutant rollout-settle internal/rollout/coordinator.go "s/if out, done := c\.settleCommit\(ctx, next\); !done \{\n\t\t\treturn out\n\t\t\}/return refused(next.Version, \"lost\")/" internal/rollout "TestLostReply"
 mutant rollout-confirm internal/rollout/coordinator.go "s/if len\(missing\) > 0 \{\n\t\treturn Outcome\{state: Committed/if len(missing) > 99 {\n\t\treturn Outcome{state: Committed/" internal/rollout TestZoneCutBetween
-mutant sidecar-behind internal/sidecar/server.go "s/if v <= s\.active\(\)\.Version\(\) \{/if v > -1 {/" internal/sidecar TestOlderConfiguration
+mutant sidecar-behind internal/sidecar/server.go "s/if v <= s\.active\(\)\.Version\(\) \{/if v > -1 {/" internal/sidecar TestRequestOfANewerConfigurationIsNotServed
 
 gateway=internal/gateway
 placement=internal/placement
@@ -186,7 +186,7 @@
 mutant held-runs-told $held/word.go 's/u\.ran\(start, w\.kind\(start\)\)/u.ran(start, unknownRun)/' $held TestTrialsAreTold
 mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsRunApart
 mutant held-entry-apart internal/entry/crashing.go 's/case isolation != quarantine\.Apart:/case true:/' internal/entry TestIsolate
-mutant held-entry-down internal/sidecar/starts.go 's/crossed := !s\.down \|\| !s\.downAt\.Before\(sentAt\)/crossed := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
+mutant held-entry-down internal/sidecar/starts.go 's/sentWhileUp := !u\.down \|\| !u\.downAt\.Before\(sentAt\)/sentWhileUp := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
 mutant held-void-told $held/word.go 's/\t\t\tw\.Void = append\(w\.Void, start\)\n//' $held 'TestClearedElsewhere|TestOperatorsListAndLift'
 mutant held-told-anew $held/word.go 's/\tif len\(u\.live\(\)\) >= tellEnds \{\n\t\treturn true\n\t\}\n//' $held TestAnEntryThatStartsAnewLearns
 mutant held-bounded $held/set.go 's/\t\ts\.makeRoom\(\)\n//' $held TestSuspectsAreBounded
@@ -210,9 +210,9 @@
 mutant held-renewed internal/directory/directory.go 's/\t\t\towed = true\n//' internal/directory TestCarriedOver
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
-mutant held-sidecar-starts internal/sidecar/starts.go 's/s\.n, s\.down = s\.n\+1, false/s.down = false/' internal/sidecar TestStartsOfTheUpstream
+mutant held-sidecar-starts internal/sidecar/starts.go 's/u\.restarts, u\.down = u\.restarts\+1, false/u.down = false/' internal/sidecar TestUpstreamIncarnations
 mutant held-entry-generation internal/entry/completions.go 's/\t\te\.lost\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
-mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.starts\.endedUnder\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
+mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.incarnations\.endedDuring\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(start\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 
@@ -231,7 +231,7 @@
 mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
 mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.read\(b, addr\) \}\); err/if err := n.read(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestMessageThatEndsNoReader
 mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
-mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestGenerationThatEndsNoSidecar
+mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestPanicInAGeneration
 
 mutant first-reads internal/directory/directory.go 's/firstMost  = 2 \* time\.Second/firstMost  = time.Hour/; s/firstLeast = 100 \* time\.Millisecond/firstLeast = time.Hour/' internal/directory TestFirstReadsThatFail
 mutant first-row internal/directory/begin.go 's/\t\t\td\.again\(ctx, d\.renew\)\n\t\t\td\.again\(ctx, d\.read\)\n//' internal/directory TestFirstReadsThatFail
@@ -265,10 +265,10 @@
 mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationHasAPermit
 mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitInHeaders
 mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestUpstreamThatSaysWhenToComeBack
-mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.take\(ctx\); !ok \{/if opensAt, ok := s.takes.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsWhatItTakes
-mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.await\(ctx, s\.permitBy\(p\)\); !ok \{/if opensAt, ok := s.permitBy(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
-mutant limits-sidecar-queued internal/sidecar/server.go 's/if opensAt, ok := s\.takes\.take\(context\.Background\(\)\); !ok \{/if opensAt, ok := s.takes.opensAt(), true; !ok {/' internal/sidecar TestQueuedGenerationNeedsAPermit
-mutant limits-sidecar-start internal/sidecar/limit.go 's/t\.set\.Take\(ctx, t\.starts\.current\(\)\)/t.set.Take(ctx, t.starts.incarnation+"#0")/' internal/sidecar TestLimitEndsWithItsStart
+mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.takePermit\(ctx\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsNoMoreCallsThanItsRateLimit
+mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.awaitPermit\(ctx, s\.permitDeadline\(p\)\); !ok \{/if opensAt, ok := s.permitDeadline(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
+mutant limits-sidecar-queued internal/sidecar/server.go 's/if opensAt, ok := s\.limiter\.takePermit\(context\.Background\(\)\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestQueuedGenerationNeedsAPermit
+mutant limits-sidecar-start internal/sidecar/limit.go 's/l\.set\.Take\(ctx, l\.incarnations\.current\(\)\)/l.set.Take(ctx, l.incarnations.sidecarIncarnation+"#0")/' internal/sidecar TestRateLimitEndsWithItsIncarnation
 
 spread=internal/gossip/spread.go
 members=internal/gossip/members.go
@@ -303,9 +303,9 @@
 mutant leaving-lapsed internal/fleet/set.go 's/if m\.state == Lapsed \{\n\t\t\/\/ Its/if false {\n\t\t\/\/ Its/; s/\tm\.until = time\.Time\{\}\n\ts\.release/\ts.release/' internal/fleet TestUpstreamThatSaidItLeavesNever
 mutant leaving-told internal/fleet/set.go 's/if lately \|\| !m\.Leaving && unwritten <= mostUnwritten/if lately/' internal/fleet TestLeaveThatNoRecord
 mutant leaving-421 platform/caller.go 's/if status == http\.StatusMisdirectedRequest \{\n\t\treturn n/if false {\n\t\treturn n/' platform TestNotice
-mutant sidecar-rest internal/sidecar/notice.go 's/if until\.After\(n\.backOff\)/if false/' internal/sidecar TestServiceThatAskedForRest
-mutant sidecar-leaving internal/sidecar/notice.go 's/\t\tn\.leavesUntil = now\.Add\(leavesFor\)\n//' internal/sidecar TestServiceThatSaidItLeaves
-mutant sidecar-start internal/sidecar/notice.go 's/if n\.start != start \{/if false {/' internal/sidecar TestRestOfAServiceEnds
+mutant sidecar-rest internal/sidecar/notice.go 's/if backoffUntil\.After\(n\.backoffUntil\)/if false/' internal/sidecar TestServiceInBackoff
+mutant sidecar-leaving internal/sidecar/notice.go 's/\t\tn\.leavingUntil = now\.Add\(leavingTTL\)\n//' internal/sidecar TestLeavingService
+mutant sidecar-start internal/sidecar/notice.go 's/if n\.incarnation != incarnation \{/if false {/' internal/sidecar TestBackoffEndsWithItsIncarnation
 
 mutant epoch-changes internal/belief/follower.go 's/case s\.Epoch > f\.epoch && !full:/case false:/' internal/belief TestOnlyReadEpochsConfirm
 mutant epoch-version internal/belief/follower.go 's/f\.epoch, f\.version = s\.Epoch, s\.Version/f.epoch, f.version = s.Epoch, max(f.version, s.Version)/' internal/belief TestFollowerOfAStoreThatIsRestored
