--- a/internal/gossip/badinput_test.go
+++ b/internal/gossip/badinput_test.go
@@ -13,67 +13,68 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
-var from = &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9}
+var senderAddr = &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9}
 
-// datagramOf encodes a body of some format as a peer sends it.
-func datagramOf(tb testing.TB, version int, body any) []byte {
+// newDatagram encodes a body of a given format as a peer sends it.
+func newDatagram(tb testing.TB, version int, body any) []byte {
 	tb.Helper()
 	b, err := cbor.Marshal(body)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	d, err := encode(version, echo{}, b)
+	d, err := encodeDatagram(version, echo{}, b)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return d
 }
 
-// TestPeerThatClaimsManyEntries: what a peer names counts for nothing until it is heard. It takes
-// bounded memory, and makes messages to the others no rarer.
+// TestPeerThatClaimsManyEntries guards against a peer that names many entries which do not exist. They must
+// take bounded memory, must not lengthen the message intervals of the others, and must be dropped.
 func TestPeerThatClaimsManyEntries(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
-	say(t, b, a)
-	before := a.counts()
+	deliver(t, b, a)
+	before := a.groupSizes()
 	for i := range 100 {
-		claims := membersBody{From: "b", Sum: 1}
+		named := membersBody{From: "b", Sum: 1}
 		for k := range 800 {
-			claims.Entries = append(claims.Entries, wireEntry{Name: fmt.Sprintf("ghost-%d-%d", i, k), Address: "127.0.0.1:9", Zone: "z", MilliCores: 1 << 40})
+			named.Entries = append(named.Entries, wireEntry{Name: fmt.Sprintf("ghost-%d-%d", i, k), Address: "127.0.0.1:9", Zone: "z", MilliCores: 1 << 40})
 		}
-		claims.Entries = append(claims.Entries,
+		named.Entries = append(named.Entries,
 			wireEntry{Name: strings.Repeat("n", 1<<10), Address: "127.0.0.1:9"}, wireEntry{Name: "named", Address: "ghost.example:9"},
 			wireEntry{Name: "six", Address: "[::1]:9"}, wireEntry{Name: "none", Address: "127.0.0.1:0"}, wireEntry{Address: "127.0.0.1:9"})
-		a.receiveDatagram(datagramOf(t, formatMembers, claims), from)
+		a.receiveDatagram(newDatagram(t, formatMembers, named), senderAddr)
 	}
-	if known := len(a.peers); known > mostNamed+1 {
-		t.Errorf("%d entries known, want %d at most", known, mostNamed+1)
+	if known := len(a.peers); known > maxUnverified+1 {
+		t.Errorf("%d entries known, want %d at most", known, maxUnverified+1)
 	}
-	if got := a.counts(); got != before {
-		t.Errorf("%v entries share the messages, want %v", got, before)
+	if got := a.groupSizes(); got != before {
+		t.Errorf("group sizes %v, want %v", got, before)
 	}
-	a.wire.sent = nil
+	a.conn.sent = nil
 	a.send(near, far)
-	if len(a.wire.sent) != 1 {
-		t.Errorf("%d regular messages, want one to the entry that is heard", len(a.wire.sent))
+	if len(a.conn.sent) != 1 {
+		t.Errorf("%d regular messages, want one to the live entry", len(a.conn.sent))
 	}
-	c.at = c.at.Add(expectedFor + time.Second)
+	c.at = c.at.Add(expectedPeriod + time.Second)
 	a.compare()
 	if known := len(a.peers); known != 1 {
-		t.Errorf("%d entries known once the others did not answer, want 1", known)
+		t.Errorf("%d entries known after the unverified ones timed out, want 1", known)
 	}
 }
 
-// TestBundlesThatMoveNothing covers states that were passed on and cannot be true.
-func TestBundlesThatMoveNothing(t *testing.T) {
-	state := func(name, life string, sent int64) wireState {
-		b, err := cbor.Marshal(body{From: name, Life: life, Sent: sent, AgeMS: -1, Leaving: []string{"u"}})
+// TestInvalidForwardedStates checks that forwarded states with impossible values are ignored, and that
+// none of them prevents a later state of the entry itself from being stored.
+func TestInvalidForwardedStates(t *testing.T) {
+	state := func(name, incarnation string, sent int64) wireState {
+		b, err := cbor.Marshal(stateBody{From: name, Life: incarnation, Sent: sent, AgeMS: -1, Leaving: []string{"u"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return wireState{Version: format, Body: b}
+		return wireState{Version: formatState, Body: b}
 	}
-	held := func(s wireState, us int64) wireState {
+	withAge := func(s wireState, us int64) wireState {
 		s.HeldUS = us
 		return s
 	}
@@ -83,67 +84,67 @@
 		want bool
 	}{
 		{"a newer state", state("b", "1", 2000), true},
-		{"the state that is known", state("b", "1", 1), false},
-		{"of an entry that is not known", state("ghost", "1", 2000), false},
-		{"of another life", state("b", "2", 2000), false},
-		{"of a time to come", state("b", "1", int64(time.Hour)), false},
-		{"of the end of time", state("b", "1", math.MaxInt64), false},
-		{"held for longer than it was underway", held(state("b", "1", 2000), time.Hour.Microseconds()), false},
-		{"held for a negative time", held(state("b", "1", 2000), -1), false},
-		{"of no format", wireState{Version: 99, Body: []byte{0xa0}}, false},
-		{"of no body", wireState{Version: format, Body: []byte{0x01}}, false},
-		{"of itself", state("a", "1", 2000), false},
+		{"the stored state", state("b", "1", 1), false},
+		{"unknown entry", state("ghost", "1", 2000), false},
+		{"another incarnation", state("b", "2", 2000), false},
+		{"send time one hour ahead", state("b", "1", int64(time.Hour)), false},
+		{"largest send time", state("b", "1", math.MaxInt64), false},
+		{"age above the maximum", withAge(state("b", "1", 2000), time.Hour.Microseconds()), false},
+		{"negative age", withAge(state("b", "1", 2000), -1), false},
+		{"unknown format", wireState{Version: 99, Body: []byte{0xa0}}, false},
+		{"invalid body", wireState{Version: formatState, Body: []byte{0x01}}, false},
+		{"state of the receiver itself", state("a", "1", 2000), false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := &clock{at: time.Now()}
 			a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
-			say(t, b, a)
-			a.receiveDatagram(datagramOf(t, formatBundle, bundleBody{From: "b", Part: toZone, States: []wireState{tc.wireState}}), from)
-			if got := len(a.heard.Leaving) > 0; got != tc.want {
-				t.Errorf("taken over: %v, want %v", got, tc.want)
+			deliver(t, b, a)
+			a.receiveDatagram(newDatagram(t, formatBundle, bundleBody{From: "b", Part: toZone, States: []wireState{tc.wireState}}), senderAddr)
+			if got := len(a.received.Leaving) > 0; got != tc.want {
+				t.Errorf("stored: %v, want %v", got, tc.want)
 			}
-			// What the entry itself says is heard after all of these.
+			// A later state that the entry itself sends must be stored in every case.
 			c.at = c.at.Add(100 * time.Millisecond)
 			b.state = State{Leaving: []string{"v"}}
-			say(t, b, a)
-			if len(a.heard.Leaving) != 1 || a.heard.Leaving[0] != "v" {
-				t.Errorf("heard %v of the entry itself", a.heard.Leaving)
+			deliver(t, b, a)
+			if len(a.received.Leaving) != 1 || a.received.Leaving[0] != "v" {
+				t.Errorf("leaving upstreams %v from the entry itself, want [v]", a.received.Leaving)
 			}
 		})
 	}
 }
 
-// TestSilenceThatIsNotTrue: an entry that is heard is not forgotten, whoever says that it is silent.
-func TestSilenceThatIsNotTrue(t *testing.T) {
+// TestFalseSilenceReport checks that an entry whose messages arrive stays live, whoever reports it silent.
+func TestFalseSilenceReport(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
-	say(t, b, a)
-	a.receiveDatagram(datagramOf(t, formatBundle, bundleBody{From: "b", Silent: []wireSilent{{Name: "b", Life: "1"}, {Name: "a", Life: "1"}, {Name: "ghost"}}}), from)
+	deliver(t, b, a)
+	a.receiveDatagram(newDatagram(t, formatBundle, bundleBody{From: "b", Silent: []wireSilent{{Name: "b", Life: "1"}, {Name: "a", Life: "1"}, {Name: "ghost"}}}), senderAddr)
 	c.at = c.at.Add(a.settings.Every)
 	a.send(near, far)
 	if len(a.Peers()) != 1 {
-		t.Error("an entry is forgotten that was heard a message ago")
+		t.Error("an entry became silent one regular interval after its message")
 	}
 }
 
-// FuzzMembersAndBundles reads what no entry sends.
+// FuzzMembersAndBundles checks that arbitrary datagrams neither end the receiver nor add many entries.
 func FuzzMembersAndBundles(f *testing.F) {
-	f.Add(datagramOf(f, formatMembers, membersBody{From: "b", Sum: 1, Entries: []wireEntry{{Name: "c", Address: "127.0.0.1:9"}}, Asks: true}))
-	f.Add(datagramOf(f, formatBundle, bundleBody{From: "b", States: []wireState{{Version: format, Body: encodeBodyOf(f)}}, Silent: []wireSilent{{Name: "b", Life: "1"}}}))
-	f.Add(datagramOf(f, formatLimits, limitsBody{From: "b"}))
+	f.Add(newDatagram(f, formatMembers, membersBody{From: "b", Sum: 1, Entries: []wireEntry{{Name: "c", Address: "127.0.0.1:9"}}, Asks: true}))
+	f.Add(newDatagram(f, formatBundle, bundleBody{From: "b", States: []wireState{{Version: formatState, Body: bodyWithSuspects(f)}}, Silent: []wireSilent{{Name: "b", Life: "1"}}}))
+	f.Add(newDatagram(f, formatLimits, limitsBody{From: "b"}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c := &clock{at: time.Now()}
 		a, other := newNode(c, "a", "1"), newNode(c, "b", "1")
-		say(t, other, a)
-		a.receiveDatagram(b, from)
-		if len(a.peers) > mostNamed+2 {
+		deliver(t, other, a)
+		a.receiveDatagram(b, senderAddr)
+		if len(a.peers) > maxUnverified+2 {
 			t.Errorf("%d entries known", len(a.peers))
 		}
 	})
 }
 
-// encodeBodyOf is a state with words of requests under which upstreams ended.
-func encodeBodyOf(tb testing.TB) []byte {
+// bodyWithSuspects returns the encoded body of a state with a suspect.
+func bodyWithSuspects(tb testing.TB) []byte {
 	tb.Helper()
 	now := time.Now()
 	_, b, err := encodeBody(Settings{Name: "b", Life: "1"}, State{Suspects: []quarantine.Word{{Ends: map[string]time.Time{"e": now}}}}, time.Second, now)
--- a/internal/gossip/bundle.go
+++ b/internal/gossip/bundle.go
@@ -10,85 +10,87 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// bundleBody holds states that are passed on.
+// bundleBody is the body of a message with forwarded states and reports of silent entries.
 type bundleBody struct {
 	_    struct{} `cbor:",toarray"`
 	From string
-	// Part is the part of the way that the message goes.
+	// Part is the hop that the message travels: toOwnDelegates, toOtherDelegates or toZone.
 	Part   int
 	States []wireState
-	// Silent are entries of the sender's zone that its delegate does not hear any more.
+	// Silent lists entries of a zone from which a delegate of that zone receives no messages any more.
 	Silent []wireSilent
 }
 
-// wireSilent is an entry that is not heard.
+// wireSilent identifies the incarnation of an entry that is reported silent.
 type wireSilent struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
 	Life string
 }
 
-// wireState is the body of a message with a state, as its entry encoded it.
+// wireState is a forwarded state, in the encoding of the entry that sent it first.
 type wireState struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
-	// HeldUS is the time since the entry made it, without the ways, in microseconds.
+	// HeldUS is the age of the state in microseconds, without the transit times of the messages.
 	HeldUS int64
 	Body   cbor.RawMessage
 }
 
-// news is a state on its way.
-type news struct {
+// stateUpdate is an encoded state that is to be forwarded.
+type stateUpdate struct {
 	version int
 	body    []byte
-	// made is a steady time that is not before the moment at which the state was made.
+	// made is a monotonic time at or after the moment at which the state was made.
 	made time.Time
 }
 
-// outbox holds what is to be passed on to the own zone and to the delegates of others: the newest
-// state of each entry, and the entries that fell silent.
+// outbox holds what this entry forwards next to its own zone and to the delegates of other zones.
 type outbox struct {
-	zone, others parcel
+	zone, otherDelegates batch
 }
 
-// parcel is what is passed on to some entries, by name.
-type parcel struct {
-	states map[string]news
+// batch holds the newest state of each entry and the entries that became silent, by name.
+type batch struct {
+	states map[string]stateUpdate
 	silent map[string]wireSilent
 }
 
-func newParcel() parcel { return parcel{states: map[string]news{}, silent: map[string]wireSilent{}} }
+func newBatch() batch {
+	return batch{states: map[string]stateUpdate{}, silent: map[string]wireSilent{}}
+}
 
-func newOutbox() outbox { return outbox{zone: newParcel(), others: newParcel()} }
+func newOutbox() outbox { return outbox{zone: newBatch(), otherDelegates: newBatch()} }
 
-func (p parcel) empty() bool { return len(p.states) == 0 && len(p.silent) == 0 }
+func (p batch) empty() bool { return len(p.states) == 0 && len(p.silent) == 0 }
 
-// wire is the news as it is sent now.
-func (w news) wire(now time.Time) wireState {
+// toWire returns the update as a message that is sent at now carries it.
+func (w stateUpdate) toWire(now time.Time) wireState {
 	return wireState{Version: w.version, HeldUS: now.Sub(w.made).Microseconds(), Body: w.body}
 }
 
-// writeBundles sends a parcel to a peer in as many messages as it needs. It needs the lock.
-func (n *Node) writeBundles(p *peer, part int, all parcel, now time.Time) (messages int) {
-	if all.empty() {
+// writeBundles sends a batch to a peer, split into messages of about maxBundleBytes, and returns their
+// number. The caller must hold n.mu.
+func (n *Node) writeBundles(p *peer, hop int, content batch, now time.Time) (messages int) {
+	if content.empty() {
 		return 0
 	}
-	b := bundleBody{Part: part, Silent: slices.Collect(maps.Values(all.silent))}
+	b := bundleBody{Part: hop, Silent: slices.Collect(maps.Values(content.silent))}
 	size := 0
-	for _, one := range all.states {
-		if size > 0 && size+len(one.body) > mostBundle {
+	for _, update := range content.states {
+		if size > 0 && size+len(update.body) > maxBundleBytes {
 			n.writeBundle(p, b, now)
 			messages++
-			b, size = bundleBody{Part: part}, 0
+			b, size = bundleBody{Part: hop}, 0
 		}
-		b.States = append(b.States, one.wire(now))
-		size += len(one.body)
+		b.States = append(b.States, update.toWire(now))
+		size += len(update.body)
 	}
 	n.writeBundle(p, b, now)
 	return messages + 1
 }
 
-// writeBundle sends a bundle to a peer. It needs the lock.
+// writeBundle sends a bundle to a peer. The caller must hold n.mu.
 func (n *Node) writeBundle(p *peer, b bundleBody, now time.Time) {
 	b.From = n.settings.Name
 	body, err := cbor.Marshal(b)
@@ -99,8 +101,8 @@
 	n.write(p, formatBundle, body, now)
 }
 
-// takeBundle takes over states that were passed on, and passes on those that are new.
-func (n *Node) takeBundle(d datagram, addr net.Addr) error {
+// receiveBundle stores the forwarded states of a bundle and forwards those that are new.
+func (n *Node) receiveBundle(d datagram, addr net.Addr) error {
 	var b bundleBody
 	if err := cbor.Unmarshal(d.Body, &b); err != nil {
 		return fmt.Errorf("%w: bundle: %v", ErrMessage, err)
@@ -113,63 +115,63 @@
 			continue
 		}
 		held := time.Duration(s.HeldUS) * time.Microsecond
-		if held < 0 || held > mostHeld {
-			n.reject(addr, fmt.Errorf("%w: a state of %s was held for %s", ErrMessage, m.body.From, held))
+		if held < 0 || held > maxForwardAge {
+			n.reject(addr, fmt.Errorf("%w: forwarded state of %s has invalid age %s", ErrMessage, m.body.From, held))
 			continue
 		}
-		n.takePassed(m, b.Part, news{version: s.Version, body: s.Body, made: now.Add(-held)})
+		n.receiveForwarded(m, b.Part, stateUpdate{version: s.Version, body: s.Body, made: now.Add(-held)})
 	}
-	n.takeSilent(b)
+	n.receiveSilent(b)
 	return nil
 }
 
-// takePassed takes over one state that was passed on.
-func (n *Node) takePassed(m message, part int, one news) {
+// receiveForwarded stores one forwarded state, or notes that a delegate has forwarded the own state.
+func (n *Node) receiveForwarded(m message, hop int, update stateUpdate) {
 	if m.body.From == n.settings.Name {
-		n.heardOwn(m)
+		n.noteOwnForwarded(m)
 		return
 	}
-	s, fresh := n.freshState(m, part, one)
-	if fresh {
-		n.heard(m.body.From, s)
+	s, newer := n.storeForwarded(m, hop, update)
+	if newer {
+		n.received(m.body.From, s)
 	}
 }
 
-// heardOwn notes that a delegate has passed the own state on.
-func (n *Node) heardOwn(m message) {
+// noteOwnForwarded records that the own state came back from a delegate, and after which time.
+func (n *Node) noteOwnForwarded(m message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if m.body.Life == n.settings.Life && m.body.Sent > n.ownPassed {
-		n.ownPassed, n.lag = m.body.Sent, n.now().Sub(n.start)-time.Duration(m.body.Sent)
+	if m.body.Life == n.settings.Life && m.body.Sent > n.ownForwarded {
+		n.ownForwarded, n.forwardLag = m.body.Sent, n.now().Sub(n.start)-time.Duration(m.body.Sent)
 	}
 }
 
-// freshState returns what a state tells that was passed on, if it is newer than what is known of
-// its entry, and has it passed on. How old the routes of that entry are, and when it heard this
-// one, is proved only by what it sends itself, so that is kept as it was.
-func (n *Node) freshState(m message, part int, one news) (s State, fresh bool) {
+// storeForwarded stores a forwarded state if it is newer than the stored one of its entry, and queues
+// it for the next hop. Routes, Confirmed and HeardUs keep their values: only a datagram that comes
+// from the entry itself proves the age of its routes and when it last received a message of this one.
+func (n *Node) storeForwarded(m message, hop int, update stateUpdate) (s State, newer bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p, ok := n.peers[m.body.From]
-	if !ok || p.lost || p.life != m.body.Life || m.body.Sent <= p.newest || n.ahead(p, m.body.Sent) {
+	if !ok || p.silent || p.incarnation != m.body.Life || m.body.Sent <= p.newestSent || n.isFromFuture(p, m.body.Sent) {
 		return State{}, false
 	}
-	s = m.state(one.made)
+	s = m.state(update.made)
 	s.Routes, s.Confirmed, s.HeardUs = p.State.Routes, p.State.Confirmed, p.State.HeardUs
-	p.State, p.newest = s, m.body.Sent
-	if part == toZone {
+	p.State, p.newestSent = s, m.body.Sent
+	if hop == toZone {
 		return s, true
 	}
-	n.out.zone.states[m.body.From] = one
-	if part == toOwnDelegates {
-		n.out.others.states[m.body.From] = one
+	n.outbox.zone.states[m.body.From] = update
+	if hop == toOwnDelegates {
+		n.outbox.otherDelegates.states[m.body.From] = update
 	}
-	ask(n.passing)
+	signal(n.forwardDue)
 	return s, true
 }
 
-// ahead reports whether an entry cannot have sent anything yet at a time of its clock: a state of
-// such a time would keep all later ones from being taken. It needs the lock.
-func (n *Node) ahead(p *peer, sent int64) bool {
-	return time.Duration(sent-p.echo) > n.now().Sub(p.Heard)+clockSlack
+// isFromFuture reports whether the clock of an entry cannot have reached a time yet. Storing a state
+// with such a time would make all later states of the entry look outdated. The caller must hold n.mu.
+func (n *Node) isFromFuture(p *peer, sent int64) bool {
+	return time.Duration(sent-p.echoSent) > n.now().Sub(p.Heard)+clockSlack
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -11,19 +11,19 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// send sends the own state to the peers of some groups.
+// send sends the own state to the verified peers of some groups.
 func (n *Node) send(to ...group) {
-	n.sendTo(func(_ string, p *peer) bool { return !p.named && slices.Contains(to, n.group(p)) })
+	n.sendTo(func(_ string, p *peer) bool { return !p.unverified && slices.Contains(to, n.group(p)) })
 }
 
-// greetSoon sends the own state to one entry at once: one that appears needs the state of each
-// other one, and they need no more than its own. It needs the lock.
+// greetSoon schedules a message with the own state to one entry. A new entry needs the state of every
+// other entry, while the others need only the state of the new one. The caller must hold n.mu.
 func (n *Node) greetSoon(name string) {
 	n.greet[name] = true
-	ask(n.greeting)
+	signal(n.greetDue)
 }
 
-// sendGreetings sends the own state to those that are due to be greeted.
+// sendGreetings sends the own state to the entries that greetSoon scheduled.
 func (n *Node) sendGreetings() {
 	n.mu.Lock()
 	greet := n.greet
@@ -32,8 +32,9 @@
 	n.sendTo(func(name string, _ *peer) bool { return greet[name] })
 }
 
-// sendTo sends the own state to the peers that are chosen.
-func (n *Node) sendTo(chosen func(name string, p *peer) bool) {
+// sendTo sends the own state, and limit messages where there are any, to the peers for which include
+// returns true. It also marks the peers as silent whose silence timeout has passed.
+func (n *Node) sendTo(include func(name string, p *peer) bool) {
 	s := n.collect()
 	now := n.now()
 	version, body, err := encodeBody(n.settings, s, now.Sub(n.start), now)
@@ -41,35 +42,35 @@
 		n.rec.Note(events.GossipRejected, "", "peer", n.settings.Name, "error", err)
 		return
 	}
-	told := n.limits.Round(n.entries)
+	limitMessages := n.limits.Round(n.limitEntries)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if now.Sub(n.markedAt) >= n.settings.Every {
-		n.markDelegates(now)
+	if now.Sub(n.delegatesUpdated) >= n.settings.Every {
+		n.updateDelegates(now)
 	}
 	for name, p := range n.peers {
-		if !p.lost && now.Sub(p.Heard) > n.silenceToForget(p) {
-			n.lose(name, p, now)
+		if !p.silent && now.Sub(p.Heard) > n.silenceTimeout(p) {
+			n.markSilent(name, p, now)
 		}
-		if !chosen(name, p) {
+		if !include(name, p) {
 			continue
 		}
 		n.write(p, version, body, now)
-		if m, ok := told[name]; ok {
+		if m, ok := limitMessages[name]; ok {
 			n.writeLimits(p, m, now)
 		}
 	}
 }
 
-// write sends a body to a peer. It needs the lock.
+// write sends a body to a peer. The caller must hold n.mu.
 func (n *Node) write(p *peer, version int, body []byte, now time.Time) {
-	b, err := encode(version, echo{Sent: p.echo, Life: p.life, HeldUS: now.Sub(p.Heard).Microseconds()}, body)
+	b, err := encodeDatagram(version, echo{Sent: p.echoSent, Life: p.incarnation, HeldUS: now.Sub(p.Heard).Microseconds()}, body)
 	if err != nil {
 		n.reject(p.addr, err)
 		return
 	}
-	// A datagram that cannot be sent is as good as a lost one; the peer's silence is what
-	// is noted.
+	// A datagram that cannot be sent is treated like a lost one: if it lasts, the peer becomes silent,
+	// and that is recorded.
 	_, _ = n.conn.WriteTo(b, p.addr)
 }
 
@@ -88,82 +89,83 @@
 }
 
 func (n *Node) receiveDatagram(b []byte, addr net.Addr) {
-	if err := guard.Do(func() error { return n.read(b, addr) }); err != nil {
+	if err := guard.Do(func() error { return n.handle(b, addr) }); err != nil {
 		n.reject(addr, err)
 	}
 }
 
-// read reads a datagram and takes over what it tells.
-func (n *Node) read(b []byte, addr net.Addr) error {
+// handle decodes a datagram and dispatches it by format.
+func (n *Node) handle(b []byte, addr net.Addr) error {
 	d, err := decodeDatagram(b)
 	if err != nil {
 		return err
 	}
 	switch d.Format {
 	case formatLimits:
-		return n.takeLimits(d)
+		return n.receiveLimits(d)
 	case formatMembers:
-		return n.takeMembers(d)
+		return n.receiveMembers(d)
 	case formatBundle:
-		return n.takeBundle(d, addr)
+		return n.receiveBundle(d, addr)
 	}
 	m, err := decodeState(d)
 	if err != nil {
 		return err
 	}
-	n.take(m, addr)
+	n.receiveState(m, addr)
 	return nil
 }
 
-// take stores a peer's state. Its confirmation holds for the time of the echo,
-// less the age that the peer gave: both bounds lie on the safe side.
-func (n *Node) take(m message, addr net.Addr) {
+// receiveState stores the state that a peer sent. The time at which the peer's routes were confirmed is
+// computed as the send time of the echoed message, which is earlier than the reply, less the age that
+// the peer reports. So the routes may look older than they are, but never newer.
+func (n *Node) receiveState(m message, addr net.Addr) {
 	now := n.now()
 	s := m.state(now)
-	if m.body.AgeMS >= 0 && n.echoed(m) {
+	if m.body.AgeMS >= 0 && n.echoesOwn(m) {
 		s.Confirmed = n.start.Add(time.Duration(m.echo.Sent) - time.Duration(m.body.AgeMS)*time.Millisecond)
 	}
-	if n.echoed(m) {
+	if n.echoesOwn(m) {
 		s.HeardUs = n.start.Add(time.Duration(m.echo.Sent))
 	}
-	if n.keep(m, s, addr, now) {
-		n.heard(m.body.From, s)
+	if n.storeState(m, s, addr, now) {
+		n.received(m.body.From, s)
 	}
 }
 
-// keep takes over a peer's state, unless a newer one came before.
-func (n *Node) keep(m message, s State, addr net.Addr, now time.Time) bool {
+// storeState stores a peer's state, unless a newer one is stored, and reports whether it did.
+func (n *Node) storeState(m message, s State, addr net.Addr, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p, ok := n.peers[m.body.From]
 	if !ok {
-		p = &peer{lost: true}
-		p.resize(m.body.From, roster.Size{})
+		p = &peer{silent: true}
+		p.setSize(m.body.From, roster.Size{})
 		n.peers[m.body.From] = p
 	}
-	appeared := p.lost
+	appeared := p.silent
 	if appeared {
 		n.rec.Note(events.EntryHeard, "", "peer", m.body.From, "routes", m.body.Routes)
 		n.greetSoon(m.body.From)
 	}
-	first := n.sizes == [groups]int{}
+	firstPeer := n.sizes == [groups]int{}
 	n.measure(m, p, now)
-	overtaken := m.body.Life == p.life && m.body.Sent < p.newest
-	p.lost, p.doubted, p.named, p.addr, p.Address, p.Heard, p.echo, p.life = false, false, false, addr, addr.String(), now, m.body.Sent, m.body.Life
-	if !overtaken {
-		p.State, p.newest = s, m.body.Sent
+	outdated := m.body.Life == p.incarnation && m.body.Sent < p.newestSent
+	p.silent, p.reportedSilent, p.unverified, p.addr, p.Address, p.Heard, p.echoSent, p.incarnation = false, false, false, addr, addr.String(), now, m.body.Sent, m.body.Life
+	if !outdated {
+		p.State, p.newestSent = s, m.body.Sent
 	}
 	if appeared {
-		n.count()
+		n.countGroups()
 	}
-	if appeared && first {
-		// It may know of many others, which an entry that starts has to.
-		n.writeMembers(p, membersBody{From: n.settings.Name, Sum: n.sum(), Marks: n.marks()})
+	if appeared && firstPeer {
+		// This entry has just started and needs the peer's list of entries.
+		n.writeMembers(p, membersBody{From: n.settings.Name, Sum: n.checksum(), Marks: n.digests()})
 	}
-	return !overtaken
+	return !outdated
 }
 
-// echoed reports whether a message tells which one of this process its sender had last.
-func (n *Node) echoed(m message) bool {
+// echoesOwn reports whether a message echoes a message of this incarnation.
+func (n *Node) echoesOwn(m message) bool {
 	return m.echo.Sent > 0 && m.echo.Life == n.settings.Life
 }
--- a/internal/gossip/fault_test.go
+++ b/internal/gossip/fault_test.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// A message that an entry fails over ended it, and each other entry that it was sent to.
-func TestMessageThatEndsNoReader(t *testing.T) {
+// A panic in the handler of a message must not end the receiver. Otherwise one message that causes it ends
+// every entry to which it is sent.
+func TestPanicDoesNotStopReceiver(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
-	taken := 0
-	b.Node.heard = func(string, State) {
-		taken++
-		if taken == 1 {
+	received := 0
+	b.Node.received = func(string, State) {
+		received++
+		if received == 1 {
 			panic("oops")
 		}
 	}
-	say(t, a, b)
-	say(t, a, b)
-	if taken != 2 {
-		t.Errorf("%d messages taken, want 2", taken)
+	deliver(t, a, b)
+	deliver(t, a, b)
+	if received != 2 {
+		t.Errorf("%d messages received, want 2", received)
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,8 @@
-// Package gossip lets the entries of a deployment tell each other, by small
-// datagrams some times a second, what each has sent to which upstream, which
-// upstreams leave, and how old each one's route table is. Every message holds
-// the whole state of its sender, so a lost one only costs freshness.
+// Package gossip exchanges state between the entries of a deployment, the processes that accept
+// requests: the load that each entry has placed on each upstream, the upstreams that leave, faults,
+// and the age of its route table. The daemon of an entry runs one Node, which sends small datagrams to
+// its peers several times a second. Each state message holds the whole state of its sender, so a lost
+// message only delays an update. In a large deployment urgent states go through delegates in each zone.
 package gossip
 
 import (
@@ -14,87 +15,90 @@
 	"github.com/sparshore/sparshore/internal/limits"
 )
 
-// Node speaks for one entry.
+// Node sends the state of one entry to its peers and keeps the states that they send.
 type Node struct {
 	settings Settings
 	conn     net.PacketConn
 	collect  func() State
-	heard    func(from string, s State)
+	received func(from string, s State)
 	limits   *limits.Set
 	rec      *events.Recorder
 	now      func() time.Time
 	start    time.Time
-	// nudged and each ask for messages to all soon, urged for the own state to be spread, greeting
-	// for a message to each entry that is due to be greeted, passing for what came to be passed on.
-	nudged   chan struct{}
-	urged    chan struct{}
-	each     chan struct{}
-	greeting chan struct{}
-	passing  chan struct{}
+	// The channels wake the loops of the Node. nudged and urgedEach request a round of messages to all
+	// peers, see Nudge and UrgeEach. urged requests that the own state is spread, greetDue that the
+	// entries in greet get a message, and forwardDue that the outbox is sent.
+	nudged     chan struct{}
+	urged      chan struct{}
+	urgedEach  chan struct{}
+	greetDue   chan struct{}
+	forwardDue chan struct{}
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	// greet are the entries that get a message of their own at once.
+	// greet holds the entries that get a message outside the regular rounds.
 	greet map[string]bool
-	// out is what is to be passed on, and ownPassed the time of the latest own state that a
-	// delegate passed on, in nanoseconds of the steady time since the start.
-	out       outbox
-	ownPassed int64
-	// lag is how long that one took.
-	lag time.Duration
-	// tries counts the times in a row that no delegate passed own news on.
-	tries int
-	// delegate tells that this entry is a delegate of its zone, as of markedAt.
-	delegate bool
-	markedAt time.Time
-	stats    Stats
-	// way is how long a message takes to and back, as a mean of the latest ones.
-	way time.Duration
-	// between is the same of the time between two messages of one peer, by group.
-	between [groups]time.Duration
-	// sizes is the number of peers in each group, as of the latest change or message.
+	// outbox holds what is to be forwarded. ownForwarded is the send time of the latest own state that
+	// came back from a delegate, in nanoseconds since start.
+	outbox       outbox
+	ownForwarded int64
+	// forwardLag is the time that this state took to come back.
+	forwardLag time.Duration
+	// failedForwards counts consecutive own states that no delegate forwarded in time.
+	failedForwards int
+	// delegate is whether this entry is a delegate of its zone, as of delegatesUpdated.
+	delegate         bool
+	delegatesUpdated time.Time
+	stats            Stats
+	// roundTrip is the moving average of the round-trip time to the peers.
+	roundTrip time.Duration
+	// meanInterval is the moving average of the time between two messages of one peer, by group.
+	meanInterval [groups]time.Duration
+	// sizes is the number of peers in each group, silent ones included and unverified ones not.
 	sizes [groups]int
 }
 
-// New returns a Node. collect gives the own state; heard gets each peer's. What limited upstreams
-// take is told and heard by set.
-func New(settings Settings, conn net.PacketConn, collect func() State, heard func(from string, s State), set *limits.Set, rec *events.Recorder, now func() time.Time) *Node {
+// New returns a Node. It calls collect for the own state and received with each new state of a peer.
+// limitSet produces and handles the messages about rate limits of upstreams.
+func New(settings Settings, conn net.PacketConn, collect func() State, received func(from string, s State), limitSet *limits.Set, rec *events.Recorder, now func() time.Time) *Node {
 	return &Node{
-		settings: settings, conn: conn, collect: collect, heard: heard, limits: set, rec: rec, now: now, start: now(),
-		nudged: make(chan struct{}, 1), urged: make(chan struct{}, 1), each: make(chan struct{}, 1), greeting: make(chan struct{}, 1), passing: make(chan struct{}, 1),
-		peers: map[string]*peer{}, greet: map[string]bool{}, out: newOutbox(),
+		settings: settings, conn: conn, collect: collect, received: received, limits: limitSet, rec: rec, now: now, start: now(),
+		nudged: make(chan struct{}, 1), urged: make(chan struct{}, 1), urgedEach: make(chan struct{}, 1), greetDue: make(chan struct{}, 1), forwardDue: make(chan struct{}, 1),
+		peers: map[string]*peer{}, greet: map[string]bool{}, outbox: newOutbox(),
 	}
 }
 
-// Nudge asks for a message soon, because the own state changed in a way that
-// others should act on.
-func (n *Node) Nudge() { ask(n.nudged) }
+// Nudge requests a round of messages to all peers as soon as Settings.Least allows, because the own
+// state changed in a way that the other entries should act on.
+func (n *Node) Nudge() { signal(n.nudged) }
 
-// Urge makes the own state known to all others at once: they would go wrong without it.
-func (n *Node) Urge() { ask(n.urged) }
+// Urge spreads the own state to all entries at once. It is for changes without which the other entries
+// would make wrong decisions.
+func (n *Node) Urge() { signal(n.urged) }
 
-// UrgeEach asks for a message to each other one at once.
-func (n *Node) UrgeEach() { ask(n.each) }
+// UrgeEach requests a round of direct messages to all peers as soon as Settings.Urgent allows.
+func (n *Node) UrgeEach() { signal(n.urgedEach) }
 
-func ask(c chan struct{}) {
+// signal wakes the receiver of a channel with a buffer of one; it does not block.
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Run sends and receives until ctx ends.
+// Run sends and receives messages until ctx is done, and then closes the connection.
 func (n *Node) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = n.conn.Close() })
 	defer stop()
 	go n.receive(ctx)
 	go n.compareMembers(ctx)
 	go n.spreadUrgent(ctx)
-	go n.passOn(ctx)
+	go n.forwardLoop(ctx)
 	var s schedule
 	for ctx.Err() == nil {
 		now := n.now()
-		counts := n.counts()
+		counts := n.groupSizes()
 		due := s.due(n.settings, counts, now)
 		if len(due) > 0 {
 			n.send(due...)
@@ -104,10 +108,10 @@
 		select {
 		case <-ctx.Done():
 		case <-n.nudged:
-			s.ask(nudge)
-		case <-n.each:
-			s.ask(urge)
-		case <-n.greeting:
+			s.request(nudge)
+		case <-n.urgedEach:
+			s.request(urge)
+		case <-n.greetDue:
 			n.sendGreetings()
 		case <-t.C:
 		}
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -11,15 +11,15 @@
 	"github.com/sparshore/sparshore/internal/limits"
 )
 
-// limitsBody is what an entry tells of limited upstreams. It goes in datagrams of its own, so
-// that states do not grow and entries of the release before understand them.
+// limitsBody is a message about rate limits of upstreams. It has a datagram of its own, so that state
+// messages stay small and entries of the previous release can still decode them.
 type limitsBody struct {
 	_       struct{} `cbor:",toarray"`
 	From    string
 	Message limits.Message
 }
 
-// Send sends a message about limited upstreams to a peer. Like any datagram it may be lost.
+// Send sends a message about rate limits of upstreams to a peer. Like any datagram it may be lost.
 func (n *Node) Send(to string, m limits.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// writeLimits writes a message about limited upstreams to a peer. It needs the lock.
+// writeLimits sends a message about rate limits of upstreams to a peer. The caller must hold n.mu.
 func (n *Node) writeLimits(p *peer, m limits.Message, now time.Time) {
 	body, err := cbor.Marshal(limitsBody{From: n.settings.Name, Message: m})
 	if err != nil {
@@ -38,63 +38,63 @@
 	n.write(p, formatLimits, body, now)
 }
 
-// entries returns all peers, heard or not.
-func (n *Node) entries() []limits.Entry {
+// limitEntries returns all peers, silent ones included.
+func (n *Node) limitEntries() []limits.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := make([]limits.Entry, 0, len(n.peers))
 	for name, p := range n.peers {
-		out = append(out, entryOf(name, p))
+		out = append(out, limitEntry(name, p))
 	}
 	return out
 }
 
-func entryOf(name string, p *peer) limits.Entry {
-	return limits.Entry{Name: name, Life: p.life, Stops: !p.State.StopBy.IsZero()}
+func limitEntry(name string, p *peer) limits.Entry {
+	return limits.Entry{Name: name, Life: p.incarnation, Stops: !p.State.StopBy.IsZero()}
 }
 
-// Heard returns the peers that are heard, also lately.
+// Heard returns the live peers whose latest message is not older than staleAfter.
 func (n *Node) Heard() []limits.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	silence, now := n.silence(), n.now()
+	staleAfter, now := n.staleAfter(), n.now()
 	var out []limits.Entry
 	for name, p := range n.peers {
-		if !p.lost && now.Sub(p.Heard) <= silence {
-			out = append(out, entryOf(name, p))
+		if !p.silent && now.Sub(p.Heard) <= staleAfter {
+			out = append(out, limitEntry(name, p))
 		}
 	}
 	return out
 }
 
-// takeLimits takes over what a peer tells of limited upstreams.
-func (n *Node) takeLimits(d datagram) error {
+// receiveLimits passes a peer's message about rate limits to the Set.
+func (n *Node) receiveLimits(d datagram) error {
 	var b limitsBody
 	if err := cbor.Unmarshal(d.Body, &b); err != nil {
 		return fmt.Errorf("%w: limits: %v", ErrMessage, err)
 	}
 	if b.From == "" || b.From == n.settings.Name {
-		return fmt.Errorf("%w: no other sender", ErrMessage)
+		return fmt.Errorf("%w: the sender is missing or is this entry", ErrMessage)
 	}
 	n.limits.Hear(b.From, b.Message, n.sentNotBefore(d.Echo))
 	return nil
 }
 
-// sentNotBefore returns a time before which a datagram with an echo was not sent; zero if the
-// echo does not tell.
+// sentNotBefore returns the earliest time at which a datagram with this echo can have been sent. It is
+// zero if the echo does not refer to a message of this incarnation.
 func (n *Node) sentNotBefore(e echo) time.Time {
 	if e.Sent <= 0 || e.Life != n.settings.Life || e.HeldUS < 0 {
 		return time.Time{}
 	}
 	at := n.start.Add(time.Duration(e.Sent) + time.Duration(e.HeldUS)*time.Microsecond)
 	if now := n.now(); at.After(now) {
-		// Steady clocks do not run alike to the microsecond.
+		// The monotonic clocks of two machines differ by microseconds.
 		return now
 	}
 	return at
 }
 
-// reject notes a datagram that cannot be used.
+// reject records an invalid datagram, or a message that could not be encoded.
 func (n *Node) reject(addr net.Addr, err error) {
 	n.rec.Note(events.GossipRejected, "", "peer", addr, "error", err)
 }
--- a/internal/gossip/limits_test.go
+++ b/internal/gossip/limits_test.go
@@ -12,17 +12,17 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// anyAddress is where the nodes of these tests are said to be.
+// anyAddress is the sender address of all messages in these tests.
 var anyAddress = &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9}
 
-// rounds sends a round of messages from one node to another and returns their formats.
-func rounds(t *testing.T, from, to *node) []int {
+// sendRound sends a round of messages from one node to another and returns their formats.
+func sendRound(t *testing.T, from, to *node) []int {
 	t.Helper()
 	from.Know(map[string]roster.Entry{to.settings.Name: {Address: "127.0.0.1:9"}})
-	from.wire.sent = nil
+	from.conn.sent = nil
 	from.send(near, far)
 	var formats []int
-	for _, b := range from.wire.sent {
+	for _, b := range from.conn.sent {
 		d, err := decodeDatagram(b)
 		if err != nil {
 			t.Fatal(err)
@@ -33,57 +33,58 @@
 	return formats
 }
 
-// Nothing is told of limits while there is none. All are told of news, and later only those with
-// which it is not settled that both are aware of limits, as with entries that start anew, also if what
-// they say is lost.
-func TestWhoIsToldOfLimits(t *testing.T) {
+// TestReceiversOfLimitMessages checks which entries get limit messages: none without a limit, and all after
+// a change. Later only those get them that have not confirmed yet that both sides exchange limit messages,
+// such as restarted entries, even if a message of theirs was lost.
+func TestReceiversOfLimitMessages(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
-	want := func(what string, from, to *node, n int) {
+	expect := func(what string, from, to *node, n int) {
 		t.Helper()
-		if got := rounds(t, from, to); len(got) != n {
-			t.Errorf("%s: messages of the formats %v, want %d", what, got, n)
+		if got := sendRound(t, from, to); len(got) != n {
+			t.Errorf("%s: messages of the formats %v, want %d of them", what, got, n)
 		}
 	}
-	want("no limit", a, b, 1)
+	expect("no limit", a, b, 1)
 	a.limits.Named("u", 3.2)
-	want("news", a, b, 2)
-	want("news of news", b, a, 2)
+	expect("new limit", a, b, 2)
+	expect("limit that b has just received", b, a, 2)
 	if got := b.limits.Rate("u"); got != 3.2 {
-		t.Fatalf("b knows a limit of %v, want 3.2", got)
+		t.Fatalf("b has a limit of %v, want 3.2", got)
 	}
 	c.at = c.at.Add(time.Minute)
-	want("b asked whether a knows", a, b, 2)
-	want("both know", a, b, 1)
-	want("both know", b, a, 1)
+	expect("b asked for a confirmation", a, b, 2)
+	expect("both have confirmed", a, b, 1)
+	expect("both have confirmed", b, a, 1)
 
-	again := newNode(c, "b", "2")
-	say(t, again, a)
-	again.limits.Named("u", 3.2)
+	restarted := newNode(c, "b", "2")
+	deliver(t, restarted, a)
+	restarted.limits.Named("u", 3.2)
 	c.at = c.at.Add(time.Minute)
-	want("b started again and a has heard nothing of limits from it", a, again, 2)
-	want("a asks", again, a, 2)
-	want("a answers", a, again, 2)
-	want("both know again", again, a, 1)
-	want("both know again", a, again, 1)
+	expect("b has restarted and sent no limit message to a", a, restarted, 2)
+	expect("a asks for a confirmation", restarted, a, 2)
+	expect("a confirms", a, restarted, 2)
+	expect("both have confirmed again", restarted, a, 1)
+	expect("both have confirmed again", a, restarted, 1)
 }
 
 func TestHeard(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "7")
 	b.state.StopBy = c.at.Add(time.Second)
-	say(t, b, a)
+	deliver(t, b, a)
 	if got := a.Heard(); len(got) != 1 || got[0] != (limits.Entry{Name: "b", Life: "7", Stops: true}) {
-		t.Fatalf("heard are %+v, want b, which stops", got)
+		t.Fatalf("live peers %+v, want b, which stops", got)
 	}
-	c.at = c.at.Add(tellsMissed*a.settings.Every + time.Millisecond)
+	c.at = c.at.Add(maxMissed*a.settings.Every + time.Millisecond)
 	if got := a.Heard(); len(got) != 0 {
-		t.Errorf("heard are %+v, want none of one that is silent", got)
+		t.Errorf("live peers %+v after b became stale, want none", got)
 	}
 }
 
-// What is told of a limit that is over counts from a time at which it was not sent yet.
-func TestWhenLimitsWereTold(t *testing.T) {
+// The age of a limit that has ended counts from sentNotBefore, so that time must not be later than the
+// moment at which the message was sent.
+func TestSentNotBefore(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a := newNode(c, "a", "1")
 	begun := c.at
@@ -93,10 +94,10 @@
 		echo echo
 		want time.Time
 	}{
-		{"it has heard nothing of this process", echo{}, time.Time{}},
-		{"it has heard of an earlier life", echo{Sent: int64(time.Second), Life: "0"}, time.Time{}},
-		{"it has heard, and sent 300 ms later", echo{Sent: int64(time.Second), Life: "1", HeldUS: 300_000}, begun.Add(1300 * time.Millisecond)},
-		{"it held it for longer than can be", echo{Sent: int64(time.Second), Life: "1", HeldUS: 3_600_000_000}, c.at},
+		{"no echo", echo{}, time.Time{}},
+		{"echo of an earlier incarnation", echo{Sent: int64(time.Second), Life: "0"}, time.Time{}},
+		{"sent 300 ms after the echoed message arrived", echo{Sent: int64(time.Second), Life: "1", HeldUS: 300_000}, begun.Add(1300 * time.Millisecond)},
+		{"delay that ends in the future", echo{Sent: int64(time.Second), Life: "1", HeldUS: 3_600_000_000}, c.at},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := a.sentNotBefore(tc.echo); !got.Equal(tc.want) {
@@ -106,7 +107,7 @@
 	}
 }
 
-func TestLimitsOfNobody(t *testing.T) {
+func TestLimitMessageSender(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a := newNode(c, "a", "1")
 	for _, from := range []string{"", "a"} {
@@ -114,41 +115,41 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := encode(formatLimits, echo{}, body)
+		b, err := encodeDatagram(formatLimits, echo{}, body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := a.read(b, anyAddress); !errors.Is(err, ErrMessage) {
-			t.Errorf("a message from %q: %v, want that it cannot be used", from, err)
+		if err := a.handle(b, anyAddress); !errors.Is(err, ErrMessage) {
+			t.Errorf("a message from %q: %v, want ErrMessage", from, err)
 		}
 	}
 }
 
-// TestLimitsMessageSize bounds what entries send each other about limited upstreams: for each
-// permit a question and an answer.
+// TestLimitsMessageSize bounds the size of the question and the answer that each permit of a rate-limited
+// upstream takes.
 func TestLimitsMessageSize(t *testing.T) {
 	const most = 150
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "front-zone-a-13", "73b131248192"), newNode(c, "front-zone-a-17", "cdd8feadaaac")
-	say(t, a, b)
-	say(t, b, a)
+	deliver(t, a, b)
+	deliver(t, b, a)
 	a.limits.Named("i-7f3a91c2e0@mx76mb10", 3.2)
-	rounds(t, a, b)
-	rounds(t, b, a)
+	sendRound(t, a, b)
+	sendRound(t, b, a)
 	for range 2 {
 		c.at = c.at.Add(time.Second)
-		a.wire.sent, b.wire.sent = nil, nil
+		a.conn.sent, b.conn.sent = nil, nil
 		_ = a.limits.Take(t.Context(), "i-7f3a91c2e0@mx76mb10")
 		_ = b.limits.Take(t.Context(), "i-7f3a91c2e0@mx76mb10")
-		for _, sent := range a.wire.sent {
+		for _, sent := range a.conn.sent {
 			b.receiveDatagram(sent, anyAddress)
 		}
-		for _, sent := range b.wire.sent {
+		for _, sent := range b.conn.sent {
 			a.receiveDatagram(sent, anyAddress)
 		}
 	}
 	longest := 0
-	for _, sent := range append(a.wire.sent, b.wire.sent...) {
+	for _, sent := range append(a.conn.sent, b.conn.sent...) {
 		longest = max(longest, len(sent))
 		t.Logf("%d bytes", len(sent))
 	}
@@ -157,13 +158,13 @@
 	}
 }
 
-// BenchmarkLimitsMessage measures a question on its way into a Node, and its answer out.
+// BenchmarkLimitsMessage measures how long a Node takes to receive a question and send the answer.
 func BenchmarkLimitsMessage(b *testing.B) {
 	c := &clock{at: time.Now()}
 	a, from := newNode(c, "a", "1"), newNode(c, "b", "1")
 	from.Know(map[string]roster.Entry{"a": {Address: "127.0.0.1:9"}})
 	from.Send("a", limits.Message{Question: &limits.Question{ID: 1}})
 	for b.Loop() {
-		a.receiveDatagram(from.wire.sent[0], anyAddress)
+		a.receiveDatagram(from.conn.sent[0], anyAddress)
 	}
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -13,48 +13,49 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// Entries find those that the list of entries did not show them through each other: each
-// compares, at times, with one that it draws, which entries both hear.
+// An entry may miss others in the list of entries, for instance those that started at the same time.
+// Anti-entropy closes the gap: at intervals each entry compares the set of its live entries with that
+// of a peer picked at random, and both exchange what the other one lacks.
 
 const (
-	// compareEach is the mean time between two comparisons of an entry.
-	compareEach = time.Second
-	// mostMembers bounds the entries that one message names, some 60 bytes each, so that it fits
-	// in a datagram; of more, each message names others.
-	mostMembers = 500
-	// mostNamed bounds the entries that others named and that have not been heard yet: a peer that
-	// claims many takes no memory, and makes this entry speak to few.
-	mostNamed = 2048
-	// longestName bounds the names in bytes.
-	longestName = 128
+	// compareInterval is the mean time between two comparisons that an entry starts.
+	compareInterval = time.Second
+	// maxMembers bounds the entries in one message, of about 60 bytes each, so that it fits in a
+	// datagram. If more are missing, each message names a different selection.
+	maxMembers = 500
+	// maxUnverified bounds the unverified entries, so that a peer which names many nonexistent
+	// entries can neither exhaust the memory of this entry nor make it send to many addresses.
+	maxUnverified = 2048
+	// maxNameBytes bounds the length of the name of an entry.
+	maxNameBytes = 128
 )
 
-// membersBody tells which entries the sender hears, itself included.
+// membersBody describes the entries that are live for the sender, itself included.
 type membersBody struct {
 	_    struct{} `cbor:",toarray"`
 	From string
-	// Sum is of the entries. To who told another sum their marks are told, and to who told marks
-	// the entries that lack in them.
+	// Sum is the checksum of the entries. A receiver with a different checksum replies with Marks,
+	// the digests of its entries. A receiver of Marks replies with the Entries that are missing there.
 	Sum     uint64
 	Marks   []uint32
 	Entries []wireEntry
-	// Asks wants to be told the entries that lack in the marks, and marks in return.
+	// Asks requests the receiver's digests too, in addition to the entries that Marks lacks.
 	Asks bool
 }
 
-// wireEntry is a roster.Entry.
+// wireEntry is the encoding of a roster.Entry with its name.
 type wireEntry struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Address string
 	Relay   string
 	Zone    string
-	// MilliCores and LinkMbps are the size of its machine.
+	// MilliCores and LinkMbps are the capacity of its machine.
 	MilliCores int64
 	LinkMbps   int64
 }
 
-func wireOf(name string, e roster.Entry) wireEntry {
+func newWireEntry(name string, e roster.Entry) wireEntry {
 	return wireEntry{Name: name, Address: e.Address, Relay: e.Relay, Zone: e.Zone, MilliCores: e.Size.MilliCores(), LinkMbps: int64(e.Size.LinkMbps)}
 }
 
@@ -62,10 +63,10 @@
 	return roster.Entry{Address: e.Address, Relay: e.Relay, Zone: e.Zone, Size: roster.NewSize(float64(e.MilliCores)/roster.Milli, float64(e.LinkMbps))}
 }
 
-// compareMembers compares with one peer after another until ctx ends.
+// compareMembers starts a comparison about once per compareInterval, with jitter, until ctx is done.
 func (n *Node) compareMembers(ctx context.Context) {
 	for {
-		t := time.NewTimer(compareEach/2 + rand.N(compareEach))
+		t := time.NewTimer(compareInterval/2 + rand.N(compareInterval))
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -76,89 +77,90 @@
 	}
 }
 
-// compare tells a peer that is drawn the sum of the names, and sees to those that others named.
+// compare sends the checksum to a random peer, and retries or drops the unverified entries.
 func (n *Node) compare() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tryNamed(n.now())
-	if p := n.draw(); p != nil {
-		n.writeMembers(p, membersBody{From: n.settings.Name, Sum: n.sum()})
+	n.retryUnverified(n.now())
+	if p := n.randomPeer(); p != nil {
+		n.writeMembers(p, membersBody{From: n.settings.Name, Sum: n.checksum()})
 	}
 }
 
-// draw draws a peer that is heard; nil if there is none. It needs the lock.
-func (n *Node) draw() *peer {
-	var drawn *peer
-	heard := 0
+// randomPeer returns a live peer, picked uniformly, or nil if there is none. The caller must hold n.mu.
+func (n *Node) randomPeer() *peer {
+	var picked *peer
+	live := 0
 	for _, p := range n.peers {
-		if p.lost {
+		if p.silent {
 			continue
 		}
-		heard++
-		if rand.N(heard) == 0 {
-			drawn = p
+		live++
+		if rand.N(live) == 0 {
+			picked = p
 		}
 	}
-	return drawn
+	return picked
 }
 
-// sum is the same at entries that hear the same ones and know the same of their machines,
-// whatever the order. It needs the lock.
-func (n *Node) sum() uint64 {
-	sum := markOf(n.settings.Name, n.settings.Entry.Size)
+// checksum returns the XOR of the digests of this entry and its live peers. It is equal for two entries
+// with the same live entries and the same machine sizes. The caller must hold n.mu.
+func (n *Node) checksum() uint64 {
+	sum := digestOf(n.settings.Name, n.settings.Entry.Size)
 	for _, p := range n.peers {
-		if !p.lost {
-			sum ^= p.mark
+		if !p.silent {
+			sum ^= p.digest
 		}
 	}
 	return sum
 }
 
-// marks are those of the entries that are heard, and of this one, in 32 bits. It needs the lock.
-func (n *Node) marks() []uint32 {
-	out := []uint32{uint32(markOf(n.settings.Name, n.settings.Entry.Size))}
+// digests returns the digests of this entry and its live peers, cut to 32 bits. The caller must hold
+// n.mu.
+func (n *Node) digests() []uint32 {
+	out := []uint32{uint32(digestOf(n.settings.Name, n.settings.Entry.Size))}
 	for _, p := range n.peers {
-		if !p.lost {
-			out = append(out, uint32(p.mark))
+		if !p.silent {
+			out = append(out, uint32(p.digest))
 		}
 	}
 	return out
 }
 
-// markOf tells entries apart, and what is known of their machines.
-func markOf(name string, size roster.Size) uint64 {
+// digestOf returns a hash of an entry's name and the size of its machine.
+func digestOf(name string, size roster.Size) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s %d %.0f", name, size.MilliCores(), size.LinkMbps)
 	return h.Sum64()
 }
 
-// members names the entries that are heard, and this one, as far as they lack in marks. Those that
-// the list of entries showed a moment ago are named as well: entries that start together learn of
-// each other by the first that reads it. It needs the lock.
-func (n *Node) members(marks []uint32) []wireEntry {
-	there := make(map[uint32]bool, len(marks))
-	for _, m := range marks {
-		there[m] = true
+// missingMembers returns this entry and its live peers, as far as their digests are not among the given
+// ones. It adds entries that were listed a moment ago and are still expected: entries that start
+// together then find each other as soon as one of them has read the list. The caller must hold n.mu.
+func (n *Node) missingMembers(digests []uint32) []wireEntry {
+	present := make(map[uint32]bool, len(digests))
+	for _, m := range digests {
+		present[m] = true
 	}
 	var out []wireEntry
-	if own := markOf(n.settings.Name, n.settings.Entry.Size); !there[uint32(own)] {
-		out = append(out, wireOf(n.settings.Name, n.settings.Entry))
+	if own := digestOf(n.settings.Name, n.settings.Entry.Size); !present[uint32(own)] {
+		out = append(out, newWireEntry(n.settings.Name, n.settings.Entry))
 	}
 	now := n.now()
 	for name, p := range n.peers {
 		switch {
-		case there[uint32(p.mark)] || len(out) >= mostMembers:
-		case !p.lost:
-			out = append(out, wireOf(name, roster.Entry{Address: p.Address, Relay: p.State.Relay, Zone: p.State.Zone, Size: p.Size}))
-		case !p.named && n.isExpected(p, now):
-			out = append(out, wireOf(name, p.entry))
+		case present[uint32(p.digest)] || len(out) >= maxMembers:
+		case !p.silent:
+			out = append(out, newWireEntry(name, roster.Entry{Address: p.Address, Relay: p.State.Relay, Zone: p.State.Zone, Size: p.Size}))
+		case !p.unverified && n.isExpected(p, now):
+			out = append(out, newWireEntry(name, p.entry))
 		}
 	}
 	return out
 }
 
-// takeMembers takes over which entries a peer hears.
-func (n *Node) takeMembers(d datagram) error {
+// receiveMembers adds the entries that a peer names and replies with what the peer lacks.
+func (n *Node) receiveMembers(d datagram) error {
 	var b membersBody
 	if err := cbor.Unmarshal(d.Body, &b); err != nil {
 		return fmt.Errorf("%w: members: %v", ErrMessage, err)
@@ -169,60 +171,61 @@
 	if !ok {
 		return nil
 	}
-	n.learn(b.Entries)
-	answer := membersBody{From: n.settings.Name, Sum: n.sum()}
+	n.addNamed(b.Entries)
+	reply := membersBody{From: n.settings.Name, Sum: n.checksum()}
 	switch {
 	case len(b.Marks) > 0:
-		if answer.Entries = n.members(b.Marks); b.Asks {
-			answer.Marks = n.marks()
+		if reply.Entries = n.missingMembers(b.Marks); b.Asks {
+			reply.Marks = n.digests()
 		}
-		if len(answer.Entries) == 0 && len(answer.Marks) == 0 {
+		if len(reply.Entries) == 0 && len(reply.Marks) == 0 {
 			return nil
 		}
-	case len(b.Entries) == 0 && b.Sum != answer.Sum:
-		answer.Marks, answer.Asks = n.marks(), true
+	case len(b.Entries) == 0 && b.Sum != reply.Sum:
+		reply.Marks, reply.Asks = n.digests(), true
 	default:
 		return nil
 	}
-	n.writeMembers(p, answer)
+	n.writeMembers(p, reply)
 	return nil
 }
 
-// learn takes over entries that a peer names, as far as they are not known. Only what such an
-// entry says itself shows that it is there. It needs the lock.
-func (n *Node) learn(named []wireEntry) {
-	pending := n.pending()
-	for _, e := range named[:min(len(named), mostMembers)] {
+// addNamed adds the unknown entries that a peer names as unverified: only a message from an entry
+// itself proves that it exists. It also fills in machine sizes that are not known. The caller must hold
+// n.mu.
+func (n *Node) addNamed(named []wireEntry) {
+	pending := n.unverifiedCount()
+	for _, e := range named[:min(len(named), maxMembers)] {
 		p, known := n.peers[e.Name]
 		switch {
-		case e.Name == "" || len(e.Name) > longestName || e.Name == n.settings.Name || !addressable(e.Address):
-		case !known && pending < mostNamed:
-			n.know(e.Name, e.entry(), true)
+		case e.Name == "" || len(e.Name) > maxNameBytes || e.Name == n.settings.Name || !addressable(e.Address):
+		case !known && pending < maxUnverified:
+			n.addEntry(e.Name, e.entry(), true)
 			pending++
 		case known && p.Size == roster.Size{}:
-			p.resize(e.Name, e.entry().Size)
+			p.setSize(e.Name, e.entry().Size)
 		}
 	}
-	n.count()
+	n.countGroups()
 }
 
-// pending is the number of entries that others named and that are not heard. It needs the lock.
-func (n *Node) pending() (pending int) {
+// unverifiedCount returns the number of unverified entries. The caller must hold n.mu.
+func (n *Node) unverifiedCount() (count int) {
 	for _, p := range n.peers {
-		if p.named {
-			pending++
+		if p.unverified {
+			count++
 		}
 	}
-	return pending
+	return count
 }
 
-// tryNamed speaks again to the entries that others named, and forgets those that do not answer. It
-// needs the lock.
-func (n *Node) tryNamed(now time.Time) {
+// retryUnverified sends the own state to the unverified entries again, and drops those that have sent
+// nothing within expectedPeriod. The caller must hold n.mu.
+func (n *Node) retryUnverified(now time.Time) {
 	for name, p := range n.peers {
 		switch {
-		case !p.named:
-		case now.Sub(p.listed) > expectedFor:
+		case !p.unverified:
+		case now.Sub(p.addedAt) > expectedPeriod:
 			delete(n.peers, name)
 		default:
 			n.greetSoon(name)
@@ -230,13 +233,13 @@
 	}
 }
 
-// addressable reports whether datagrams can be sent to an address; names are not looked up.
+// addressable reports whether an address is an IPv4 address with a port. Host names are not resolved.
 func addressable(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Port() != 0 && a.Addr().Is4()
 }
 
-// writeMembers tells a peer which entries are heard. It needs the lock.
+// writeMembers sends a membersBody to a peer. The caller must hold n.mu.
 func (n *Node) writeMembers(p *peer, b membersBody) {
 	body, err := cbor.Marshal(b)
 	if err != nil {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -12,27 +12,29 @@
 	"github.com/sparshore/sparshore/internal/routing"
 )
 
-// ErrMessage is wrapped when a datagram cannot be used.
-var ErrMessage = errors.New("message of another entry cannot be used")
+// ErrMessage is wrapped by all errors about datagrams that cannot be decoded or hold invalid values.
+var ErrMessage = errors.New("invalid gossip message")
 
-// The versions of the messages; others are not understood. What a message tells of requests
-// under which upstreams ended stands in a version of its own, so that messages do not grow
-// while there is none, and entries of the release before understand those.
+// The formats of datagrams; all others are rejected. A state with suspects, which are requests that ran
+// on upstreams when those crashed, has a format of its own. States without suspects thus stay small,
+// and entries of the previous release can decode them.
 const (
-	format         = 2
+	formatState    = 2
 	formatSuspects = 4
-	// formatBefore is that of the release before, which does not tell how requests ran.
-	formatBefore = 3
-	// formatLimits is that of what is told of limited upstreams.
+	// formatSuspectsNoRuns is formatSuspects as the previous release sends it: without Runs, which tell
+	// how the requests ran.
+	formatSuspectsNoRuns = 3
+	// formatLimits is the format of messages about rate limits of upstreams.
 	formatLimits = 5
-	// formatMembers is that of what entries tell each other of who they hear.
+	// formatMembers is the format of comparisons of the live entries.
 	formatMembers = 6
-	// formatBundle is that of states which are passed on.
+	// formatBundle is the format of forwarded states.
 	formatBundle = 7
 )
 
-// datagram is what is sent: the body is the same for all receivers and encoded once.
-// Times are steady and only mean something to the process that made them.
+// datagram is the outer structure of all messages. The body is the same for all receivers and is
+// encoded once. Times are readings of a monotonic clock, so only the process that took them can
+// interpret them.
 type datagram struct {
 	_      struct{} `cbor:",toarray"`
 	Format int
@@ -40,87 +42,87 @@
 	Body   cbor.RawMessage
 }
 
-// echo tells the receiver which of its messages the sender had last. It proves that the
-// datagram is younger than that moment, however long it lay in a buffer.
+// echo identifies the latest message of the receiver that had reached the sender. It proves that the
+// datagram was sent later than that message, however long the datagram was buffered.
 type echo struct {
 	_ struct{} `cbor:",toarray"`
-	// Sent is that message's time in nanoseconds of the receiver's steady clock; 0 for
-	// none. Life is the receiver's life that it belongs to.
+	// Sent is the send time of that message in nanoseconds of the receiver's monotonic clock, or 0 if
+	// there was none. Life is the receiver's incarnation that sent it.
 	Sent int64
 	Life string
-	// HeldUS is the time between the arrival of that message and the sending of this
-	// one, in microseconds.
+	// HeldUS is the time between the arrival of that message and the sending of this datagram, in
+	// microseconds.
 	HeldUS int64
 }
 
-// body is the state of the sender.
-type body struct {
+// stateBody is the encoding of a State.
+type stateBody struct {
 	_    struct{} `cbor:",toarray"`
 	From string
-	// Life tells the starts of the sender apart.
+	// Life identifies the incarnation of the sender.
 	Life string
-	// Sent is the sender's steady time in nanoseconds.
+	// Sent is the sender's uptime in nanoseconds plus 1, so that it is never 0.
 	Sent int64
-	// AgeMS is the time since the route table was confirmed, -1 for never.
+	// AgeMS is the time since the route table was confirmed, rounded up; -1 for never.
 	AgeMS int64
 	Zone  string
 	Relay string
-	// StopsInMS is the time until a planned stop ends it, at least 1; 0 for none.
+	// StopsInMS is the time until a planned stop ends the entry, at least 1; 0 if none is under way.
 	StopsInMS int64
 	Routes    int64
 	Lost      bool
 	Loads     map[string]wireLoad
 	Leaving   []string
-	// FaultAgesMS is the time since the latest fault of upstreams.
+	// FaultAgesMS is the time since the latest fault of each upstream.
 	FaultAgesMS map[string]int64
 	Failures    map[string]int
 	Retries     map[string]wireUse
 }
 
-// suspectsBody is the state of a sender that knows of requests under which upstreams ended.
+// suspectsBody is a state with suspects: requests that ran on upstreams when those crashed.
 type suspectsBody struct {
 	_        struct{} `cbor:",toarray"`
-	Body     body
+	Body     stateBody
 	Suspects []quarantine.Message
 	Runs     []quarantine.RunsMessage
 }
 
-// suspectsBodyBefore is a suspectsBody of the release before.
-type suspectsBodyBefore struct {
+// suspectsBodyNoRuns is a suspectsBody as the previous release sends it.
+type suspectsBodyNoRuns struct {
 	_        struct{} `cbor:",toarray"`
-	Body     body
+	Body     stateBody
 	Suspects []quarantine.Message
 }
 
-// wireLoad holds requests, tokens, tokens not read yet and tokens held by now.
+// wireLoad holds the fields of a Load: Running, Tokens, Prefill and Held.
 type wireLoad [4]int
 
-// wireUse holds requests and repeats.
+// wireUse holds the fields of a routing.Use: Requests and Repeats.
 type wireUse [2]int
 
-// message is a datagram that was read.
+// message is a decoded datagram with a state.
 type message struct {
 	echo     echo
-	body     body
+	body     stateBody
 	suspects []quarantine.Message
 	runs     []quarantine.RunsMessage
 }
 
-// encodeBody encodes a state and returns the version that it is in; running is the sender's
-// steady time since its start.
-func encodeBody(settings Settings, s State, running time.Duration, now time.Time) (version int, b []byte, err error) {
-	state := bodyOf(settings, s, running, now)
+// encodeBody encodes a state and returns its format. uptime is the monotonic time since the start of
+// the sender.
+func encodeBody(settings Settings, s State, uptime time.Duration, now time.Time) (version int, b []byte, err error) {
+	state := newStateBody(settings, s, uptime, now)
 	if len(s.Suspects) == 0 {
 		b, err = cbor.Marshal(state)
-		return format, b, err
+		return formatState, b, err
 	}
 	b, err = cbor.Marshal(suspectsBody{Body: state, Suspects: quarantine.Encode(s.Suspects, now), Runs: quarantine.EncodeRuns(s.Suspects)})
 	return formatSuspects, b, err
 }
 
-func bodyOf(settings Settings, s State, running time.Duration, now time.Time) body {
-	b := body{
-		From: settings.Name, Life: settings.Life, Sent: running.Nanoseconds() + 1, AgeMS: -1,
+func newStateBody(settings Settings, s State, uptime time.Duration, now time.Time) stateBody {
+	b := stateBody{
+		From: settings.Name, Life: settings.Life, Sent: uptime.Nanoseconds() + 1, AgeMS: -1,
 		Zone: s.Zone, Relay: s.Relay, Routes: int64(s.Routes), Lost: s.StoreLost, Leaving: s.Leaving, Failures: s.Failures,
 		Loads: make(map[string]wireLoad, len(s.Loads)), FaultAgesMS: make(map[string]int64, len(s.Faults)), Retries: make(map[string]wireUse, len(s.Retries)),
 	}
@@ -142,12 +144,12 @@
 	return b
 }
 
-// encode returns the datagram for one receiver.
-func encode(version int, e echo, body []byte) ([]byte, error) {
+// encodeDatagram encodes the datagram for one receiver.
+func encodeDatagram(version int, e echo, body []byte) ([]byte, error) {
 	return cbor.Marshal(datagram{Format: version, Echo: e, Body: body})
 }
 
-// decodeDatagram reads a datagram but for its body.
+// decodeDatagram decodes a datagram and leaves its body encoded.
 func decodeDatagram(b []byte) (datagram, error) {
 	var d datagram
 	if err := cbor.Unmarshal(b, &d); err != nil {
@@ -156,45 +158,45 @@
 	return d, nil
 }
 
-// decodeState reads a datagram that holds a state.
+// decodeState decodes the body of a datagram with a state.
 func decodeState(d datagram) (message, error) {
 	m := message{echo: d.Echo}
 	var err error
 	switch d.Format {
-	case format:
+	case formatState:
 		err = cbor.Unmarshal(d.Body, &m.body)
 	case formatSuspects:
 		var b suspectsBody
 		err = cbor.Unmarshal(d.Body, &b)
 		m.body, m.suspects, m.runs = b.Body, b.Suspects, b.Runs
-	case formatBefore:
-		var b suspectsBodyBefore
+	case formatSuspectsNoRuns:
+		var b suspectsBodyNoRuns
 		err = cbor.Unmarshal(d.Body, &b)
 		m.body, m.suspects = b.Body, b.Suspects
 	default:
-		return message{}, fmt.Errorf("%w: format %d, want %d, %d or %d", ErrMessage, d.Format, format, formatBefore, formatSuspects)
+		return message{}, fmt.Errorf("%w: unknown format %d, want %d, %d or %d", ErrMessage, d.Format, formatState, formatSuspectsNoRuns, formatSuspects)
 	}
 	if err != nil {
 		return message{}, fmt.Errorf("%w: body: %v", ErrMessage, err)
 	}
 	if m.body.From == "" {
-		return message{}, fmt.Errorf("%w: no sender", ErrMessage)
+		return message{}, fmt.Errorf("%w: the sender is missing", ErrMessage)
 	}
 	return m, nil
 }
 
-// words returns what a message tells of requests under which upstreams ended.
-func (m message) words(now time.Time) []quarantine.Word {
-	words := quarantine.Decode(m.suspects, now)
-	quarantine.AddRuns(words, m.runs)
-	return words
+// decodeSuspects returns the suspects of a message.
+func (m message) decodeSuspects(now time.Time) []quarantine.Word {
+	suspects := quarantine.Decode(m.suspects, now)
+	quarantine.AddRuns(suspects, m.runs)
+	return suspects
 }
 
-// state returns what a message says, but for the confirmation of the routes.
+// state returns the state in a message, without Confirmed and HeardUs, which depend on its echo.
 func (m message) state(now time.Time) State {
 	b := m.body
 	s := State{
-		Zone: b.Zone, Relay: b.Relay, Routes: routetable.Version(b.Routes), StoreLost: b.Lost, Leaving: b.Leaving, Failures: b.Failures, Suspects: m.words(now),
+		Zone: b.Zone, Relay: b.Relay, Routes: routetable.Version(b.Routes), StoreLost: b.Lost, Leaving: b.Leaving, Failures: b.Failures, Suspects: m.decodeSuspects(now),
 		Loads: make(map[string]Load, len(b.Loads)), Faults: make(map[string]time.Time, len(b.FaultAgesMS)), Retries: make(map[string]routing.Use, len(b.Retries)),
 	}
 	for id, l := range b.Loads {
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -13,7 +13,7 @@
 	"github.com/sparshore/sparshore/internal/routing"
 )
 
-// busyState is what an entry with ten requests in flight tells.
+// busyState returns the state of an entry with ten requests in flight.
 func busyState(now time.Time) State {
 	s := State{
 		Zone: "zone-a", Relay: "10.1.0.49:7200", Routes: 41, Confirmed: now.Add(-time.Second), Loads: map[string]Load{},
@@ -25,7 +25,7 @@
 	return s
 }
 
-// decode reads a datagram that holds a state.
+// decode decodes a datagram that holds a state.
 func decode(b []byte) (message, error) {
 	d, err := decodeDatagram(b)
 	if err != nil {
@@ -40,15 +40,15 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	d, err := encode(version, echo{Sent: 1, Life: "cdd8feadaaac", HeldUS: 20000}, b)
+	d, err := encodeDatagram(version, echo{Sent: 1, Life: "cdd8feadaaac", HeldUS: 20000}, b)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return d
 }
 
-// TestMessageSize bounds what an entry sends some hundred times a second. As JSON the
-// same message has 586 bytes.
+// TestMessageSize bounds the size of a state message, of which an entry sends some hundred per second. In
+// JSON the same message has 586 bytes.
 func TestMessageSize(t *testing.T) {
 	const most = 420
 	now := time.Now()
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestMessageSizeWithBirths bounds the same message where upstreams tell their births: what
-// tells the starts of an upstream apart is part of each identifier.
-func TestMessageSizeWithBirths(t *testing.T) {
+// TestMessageSizeWithIncarnations bounds the same message with upstreams that report their start times. The
+// identifier of each such upstream includes its incarnation.
+func TestMessageSizeWithIncarnations(t *testing.T) {
 	const most = 450
 	now := time.Now()
 	s := busyState(now)
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestMessagesThatCannotBeUsed(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	encoded := func(v any) []byte {
 		b, err := cbor.Marshal(v)
 		if err != nil {
@@ -113,17 +113,17 @@
 		}
 		return b
 	}
-	nobody := encoded(body{})
+	noSender := encoded(stateBody{})
 	for _, tc := range []struct {
 		name string
 		sent []byte
 	}{
 		{"empty", nil},
-		{"not encoded", []byte("{\"from\":\"a\"}")},
-		{"another format", encoded(datagram{Format: formatSuspects + 1, Body: encoded(body{From: "a"})})},
-		{"no sender", encoded(datagram{Format: format, Body: nobody})},
-		{"no body", encoded([]any{format, []any{0, "", 0}, "text"})},
-		{"cut", encodeState(t, State{}, time.Now())[:40]},
+		{"not CBOR", []byte("{\"from\":\"a\"}")},
+		{"unknown format", encoded(datagram{Format: formatSuspects + 1, Body: encoded(stateBody{From: "a"})})},
+		{"no sender", encoded(datagram{Format: formatState, Body: noSender})},
+		{"body of another type", encoded([]any{formatState, []any{0, "", 0}, "text"})},
+		{"truncated", encodeState(t, State{}, time.Now())[:40]},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, err := decode(tc.sent); !errors.Is(err, ErrMessage) {
@@ -133,22 +133,21 @@
 	}
 }
 
-// TestMessageOfTheReleaseBefore covers that an entry which knows of no request under which an
-// upstream ended sends what the release before understands: that reads a body alone, in the
-// first version.
-func TestMessageOfTheReleaseBefore(t *testing.T) {
+// TestStateIsReadableByPreviousRelease checks that a state without suspects is sent in the oldest format,
+// whose body is a stateBody alone, so that entries of the previous release can decode it.
+func TestStateIsReadableByPreviousRelease(t *testing.T) {
 	now := time.Now()
 	var d datagram
 	if err := cbor.Unmarshal(encodeState(t, busyState(now), now), &d); err != nil {
 		t.Fatal(err)
 	}
-	var b body
-	if err := cbor.Unmarshal(d.Body, &b); err != nil || d.Format != format || b.From == "" {
+	var b stateBody
+	if err := cbor.Unmarshal(d.Body, &b); err != nil || d.Format != formatState || b.From == "" {
 		t.Errorf("format %d, from %q, %v", d.Format, b.From, err)
 	}
 }
 
-// FuzzDecode: whatever arrives is either used or refused.
+// FuzzDecode checks that an arbitrary datagram is either decoded with a sender or rejected.
 func FuzzDecode(f *testing.F) {
 	now := time.Now()
 	f.Add(encodeState(f, busyState(now), now))
@@ -158,7 +157,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decode(b)
 		if err == nil && m.body.From == "" {
-			t.Error("a message without a sender is used")
+			t.Error("a message without a sender is accepted")
 		}
 		m.state(now)
 	})
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -8,61 +8,68 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// Peer is what is known of another entry.
+// Peer is the exported part of what a Node stores about another entry.
 type Peer struct {
 	Address string
-	// Size is what its machine can bear, as far as it is listed.
+	// Size is the capacity of its machine; zero if it is not known.
 	Size  roster.Size
 	State State
-	// Heard is when the newest message came.
+	// Heard is the arrival time of the latest message from the entry itself.
 	Heard time.Time
 }
 
+// peer is another entry: one from the list of entries, one that has sent a message, or one that
+// another entry has named.
 type peer struct {
 	Peer
-	addr  net.Addr
-	echo  int64
-	life  string
-	lost  bool
-	known bool
-	// newest is the time at which its newest state was sent, by its own clock.
-	newest int64
-	// entry is how it is listed, and listed since when.
-	entry  roster.Entry
-	listed time.Time
-	// mark is of its name and its size.
-	mark uint64
-	// named tells that only another entry has named it so far: it is not in the list of entries,
-	// and has not been heard.
-	named bool
-	// delegate tells that it is one of its zone, as far as known here, and doubted that one does
-	// not hear it any more.
-	delegate bool
-	doubted  bool
-	lostAt   time.Time
+	addr net.Addr
+	// echoSent is the send time of its latest message, by its own clock, to be echoed to it.
+	echoSent    int64
+	incarnation string
+	// silent is whether no message has arrived within its silence timeout, or none at all. Peers that
+	// are not silent are called live.
+	silent bool
+	// hasEntry is whether entry is set.
+	hasEntry bool
+	// newestSent is the send time of its stored state, by its own clock.
+	newestSent int64
+	// entry is what the list of entries, or another entry, gives for it. addedAt is when it became known
+	// that way.
+	entry   roster.Entry
+	addedAt time.Time
+	// digest is the hash of its name and its size, as of digestOf.
+	digest uint64
+	// unverified is whether only another entry has named it so far: it is not in the list of entries,
+	// and no message from it has arrived.
+	unverified bool
+	// delegate is whether it is a delegate of its zone, as far as this entry can tell. reportedSilent
+	// is whether another entry has reported it silent since its latest message.
+	delegate       bool
+	reportedSilent bool
+	silentSince    time.Time
 }
 
-// Know makes the other entries known, by name, as they are listed; those not in the list and
-// silent are forgotten.
+// Know adds or updates the entries of the list of entries, by name. It drops silent peers that are not
+// in the list.
 func (n *Node) Know(listed map[string]roster.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, entry := range listed {
 		if name != n.settings.Name {
-			n.know(name, entry, false)
+			n.addEntry(name, entry, false)
 		}
 	}
 	for name, p := range n.peers {
-		if _, there := listed[name]; !there && p.lost {
+		if _, present := listed[name]; !present && p.silent {
 			delete(n.peers, name)
 		}
 	}
-	n.count()
+	n.countGroups()
 }
 
-// know takes over how an entry is listed, and greets one that is not heard. named tells that it is
-// not in the list of entries, but named by another one. It needs the lock.
-func (n *Node) know(name string, entry roster.Entry, named bool) {
+// addEntry adds or updates an entry, and sends the own state to a new one. unverified is whether it was
+// named by another entry and not read from the list of entries. The caller must hold n.mu.
+func (n *Node) addEntry(name string, entry roster.Entry, unverified bool) {
 	addr, err := net.ResolveUDPAddr("udp4", entry.Address)
 	if err != nil {
 		n.rec.Note(events.GossipRejected, "", "peer", name, "error", err)
@@ -70,46 +77,47 @@
 	}
 	p, ok := n.peers[name]
 	if !ok {
-		p = &peer{lost: true, listed: n.now()}
+		p = &peer{silent: true, addedAt: n.now()}
 		n.peers[name] = p
 		n.greetSoon(name)
 	}
-	p.addr, p.Address, p.entry, p.known, p.named = addr, entry.Address, entry, true, named
-	p.resize(name, entry.Size)
+	p.addr, p.Address, p.entry, p.hasEntry, p.unverified = addr, entry.Address, entry, true, unverified
+	p.setSize(name, entry.Size)
 }
 
-// resize takes over what the machine of an entry can bear.
-func (p *peer) resize(name string, size roster.Size) { p.Size, p.mark = size, markOf(name, size) }
+// setSize stores the capacity of the peer's machine and updates its digest.
+func (p *peer) setSize(name string, size roster.Size) { p.Size, p.digest = size, digestOf(name, size) }
 
-// Each calls f for each entry that is heard, which must not keep it or call the Node.
+// Each calls f for each live peer. f must neither keep p nor call the Node, whose lock is held.
 func (n *Node) Each(f func(name string, p *Peer)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, p := range n.peers {
-		if !p.lost {
+		if !p.silent {
 			f(name, &p.Peer)
 		}
 	}
 }
 
-// Peers returns the entries heard lately.
+// Peers returns the live peers by name.
 func (n *Node) Peers() map[string]Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := make(map[string]Peer, len(n.peers))
 	for name, p := range n.peers {
-		if !p.lost {
+		if !p.silent {
 			out[name] = p.Peer
 		}
 	}
 	return out
 }
 
-// expectedFor is how long a listed entry that was never heard counts as one that may be: some
-// round trips, a busy processor and a lost message.
-const expectedFor = 2 * time.Second
+// expectedPeriod is how long an entry that was listed or named, and has sent nothing yet, counts as one
+// that may exist. It allows for some round trips, a busy processor and a lost message.
+const expectedPeriod = 2 * time.Second
 
-// Expected returns the entries that were listed lately and have not been heard yet.
+// Expected returns the entries that were listed or named less than expectedPeriod ago and have sent
+// nothing yet.
 func (n *Node) Expected() map[string]roster.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,13 +130,13 @@
 	return out
 }
 
-// isExpected needs the lock.
+// isExpected reports whether Expected returns a peer. The caller must hold n.mu.
 func (n *Node) isExpected(p *peer, now time.Time) bool {
-	return p.lost && p.known && p.Heard.IsZero() && now.Sub(p.listed) < expectedFor
+	return p.silent && p.hasEntry && p.Heard.IsZero() && now.Sub(p.addedAt) < expectedPeriod
 }
 
-// group returns the group that a peer belongs to. One whose zone is not known yet
-// counts as far.
+// group returns the group of a peer. Peers of the own zone are near. If this entry is a delegate, all
+// other delegates are near too. A peer whose zone is not known yet is far. The caller must hold n.mu.
 func (n *Node) group(p *peer) group {
 	if p.State.Zone != "" && p.State.Zone == n.settings.Zone || n.delegate && p.delegate {
 		return near
@@ -136,18 +144,18 @@
 	return far
 }
 
-// counts is the number of peers in each group.
-func (n *Node) counts() [groups]int {
+// groupSizes returns the number of peers in each group.
+func (n *Node) groupSizes() [groups]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sizes
 }
 
-// count counts the peers in each group. It needs the lock.
-func (n *Node) count() {
+// countGroups updates the number of peers in each group. The caller must hold n.mu.
+func (n *Node) countGroups() {
 	n.sizes = [groups]int{}
 	for _, p := range n.peers {
-		if !p.named {
+		if !p.unverified {
 			n.sizes[n.group(p)]++
 		}
 	}
--- a/internal/gossip/rig_test.go
+++ b/internal/gossip/rig_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// rigNear and rigFar are the times that a datagram takes within a zone and between zones.
-	rigNear = 300 * time.Microsecond
-	rigFar  = 1500 * time.Microsecond
+	// rigZoneDelay and rigCrossZoneDelay are the transit times within a zone and between zones.
+	rigZoneDelay      = 300 * time.Microsecond
+	rigCrossZoneDelay = 1500 * time.Microsecond
 	// rigZones is the number of zones.
 	rigZones = 6
-	// rigWrite is the time between an entry's read of the list and the row that it writes.
-	rigWrite = 10 * time.Millisecond
-	// rigQueue is the number of datagrams that wait at an entry before more are lost.
-	rigQueue = 4096
+	// rigWriteDelay is the time between an entry's read of the list and the write of its own record.
+	rigWriteDelay = 10 * time.Millisecond
+	// rigQueueLength is the length of an entry's receive queue, beyond which datagrams are dropped.
+	rigQueueLength = 4096
 )
 
 var (
@@ -32,20 +32,21 @@
 	rigLarge = roster.Size{Cores: 1.6, LinkMbps: 1000}
 )
 
-// rig is a deployment on virtual time: entries that speak over a network that loses datagrams.
+// rig simulates a deployment in virtual time, with a network between the entries that loses datagrams.
 type rig struct {
 	ctx  context.Context
 	loss float64
-	// every is the time between two regular messages; 0 for that of a gateway.
+	// every is the minimum of the regular interval; 0 for the interval of a gateway.
 	every time.Duration
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	entries []*rigEntry
-	at      map[string]*rigEntry
-	// news is what an entry tells that is urgent, as an upstream that leaves.
-	news string
-	told int
+	mu        sync.Mutex
+	rng       *rand.Rand
+	entries   []*rigEntry
+	byAddress map[string]*rigEntry
+	// update is the name of a leaving upstream that one entry spreads, and informed the number of
+	// entries that have received it.
+	update   string
+	informed int
 }
 
 type rigDatagram struct {
@@ -56,7 +57,7 @@
 type rigEntry struct {
 	rig     *rig
 	name    string
-	listed  roster.Entry
+	entry   roster.Entry
 	node    *Node
 	addr    net.Addr
 	inbox   chan rigDatagram
@@ -68,38 +69,38 @@
 
 	dead    bool
 	leaving []string
-	// knows is when it first heard of the news.
-	knows time.Time
-	// messages and bytes count what it sent.
+	// informedAt is when the update first reached the entry.
+	informedAt time.Time
+	// messages and bytes count the datagrams that the entry sent.
 	messages, bytes int
 }
 
-// rigTiming is that of a gateway.
-func rigTiming(name string, listed roster.Entry, life string) Settings {
+// rigSettings returns settings with the timing of a gateway.
+func rigSettings(name string, entry roster.Entry, incarnation string) Settings {
 	return Settings{
-		Name: name, Zone: listed.Zone, Entry: listed, Life: life,
+		Name: name, Zone: entry.Zone, Entry: entry, Life: incarnation,
 		Every: 200 * time.Millisecond, Least: 10 * time.Millisecond, Urgent: 100 * time.Millisecond, Rate: 250, UrgentRate: 1000, Forget: 1500 * time.Millisecond,
 	}
 }
 
 func newRig(ctx context.Context, seed uint64, loss float64) *rig {
-	return &rig{ctx: ctx, loss: loss, rng: rand.New(rand.NewPCG(seed, 1)), at: map[string]*rigEntry{}}
+	return &rig{ctx: ctx, loss: loss, rng: rand.New(rand.NewPCG(seed, 1)), byAddress: map[string]*rigEntry{}}
 }
 
-// start starts entries that all begin within a time; each finds in the list those that had written
-// their row before it read. Of six entries one has a large machine.
+// start starts entries, spread evenly over a time. Each entry reads the records that were written before.
+// One of six entries has a large machine.
 func (r *rig) start(entries int, within time.Duration) {
 	begin := time.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range entries {
 		after := within * time.Duration(i) / time.Duration(entries)
-		all.Go(func() {
+		wg.Go(func() {
 			time.Sleep(after)
 			r.join(i)
 		})
 	}
-	all.Wait()
-	time.Sleep(time.Until(begin.Add(within + 2*rigWrite)))
+	wg.Wait()
+	time.Sleep(time.Until(begin.Add(within + 2*rigWriteDelay)))
 }
 
 // join starts one entry.
@@ -110,49 +111,49 @@
 	}
 	address := fmt.Sprintf("10.%d.%d.%d:7200", i%rigZones, i/250, i%250)
 	e := &rigEntry{
-		rig: r, name: fmt.Sprintf("e%04d", i), inbox: make(chan rigDatagram, rigQueue), started: time.Now(),
-		listed: roster.Entry{Address: address, Relay: address, Zone: fmt.Sprint("z", i%rigZones), Size: size},
+		rig: r, name: fmt.Sprintf("e%04d", i), inbox: make(chan rigDatagram, rigQueueLength), started: time.Now(),
+		entry: roster.Entry{Address: address, Relay: address, Zone: fmt.Sprint("z", i%rigZones), Size: size},
 	}
 	set := limits.New(e.name, "1", limits.Others{
 		Heard: func() []limits.Entry { return e.node.Heard() }, Send: func(to string, m limits.Message) { e.node.Send(to, m) },
 		Urge: func() {}, Told: func() time.Duration { return time.Second }, Way: func() time.Duration { return 0 },
 	}, events.Nop(), time.Now)
-	timing := rigTiming(e.name, e.listed, "1")
+	timing := rigSettings(e.name, e.entry, "1")
 	timing.Every = max(timing.Every, r.every)
-	e.node = New(timing, &rigConn{e}, e.state, e.hear, set, events.Nop(), time.Now)
+	e.node = New(timing, &rigConn{e}, e.state, e.received, set, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(r.ctx)
 	e.cancel, e.ended, e.addr = cancel, ctx.Done(), net.UDPAddrFromAddrPort(netip.MustParseAddrPort(address))
 	r.mu.Lock()
 	read := map[string]roster.Entry{}
 	for _, o := range r.entries {
-		if time.Since(o.started) > rigWrite {
-			read[o.name] = o.listed
+		if time.Since(o.started) > rigWriteDelay {
+			read[o.name] = o.entry
 		}
 	}
 	r.entries = append(r.entries, e)
-	r.at[address] = e
+	r.byAddress[address] = e
 	r.mu.Unlock()
 	go e.node.Run(ctx)
 	e.node.Know(read)
 }
 
-// state is what an entry of a quiet deployment tells: one generation in flight.
+// state returns the state of an entry with one generation in flight.
 func (e *rigEntry) state() State {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
-	return State{Zone: e.listed.Zone, Relay: e.listed.Relay, Routes: 7, Loads: map[string]Load{"i-" + e.name: {Running: 1, Tokens: 3000, Held: 3100}}, Leaving: e.leaving}
+	return State{Zone: e.entry.Zone, Relay: e.entry.Relay, Routes: 7, Loads: map[string]Load{"i-" + e.name: {Running: 1, Tokens: 3000, Held: 3100}}, Leaving: e.leaving}
 }
 
-func (e *rigEntry) hear(_ string, s State) {
+func (e *rigEntry) received(_ string, s State) {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
-	if e.knows.IsZero() && e.rig.news != "" && slices.Contains(s.Leaving, e.rig.news) {
-		e.knows = time.Now()
-		e.rig.told++
+	if e.informedAt.IsZero() && e.rig.update != "" && slices.Contains(s.Leaving, e.rig.update) {
+		e.informedAt = time.Now()
+		e.rig.informed++
 	}
 }
 
-// kill ends an entry without a word.
+// kill ends an entry without notice to the others.
 func (e *rigEntry) kill() {
 	e.rig.mu.Lock()
 	e.dead = true
@@ -160,30 +161,30 @@
 	e.cancel()
 }
 
-// alive returns the entries that run.
-func (r *rig) alive() []*rigEntry {
+// running returns the entries that were not killed.
+func (r *rig) running() []*rigEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(r.entries), func(e *rigEntry) bool { return e.dead })
 }
 
-// tell makes an entry tell urgent news, and returns how long it takes until it is heard by each
-// other one that runs, in rising order; those that have not heard of it after a time count as that.
-func (r *rig) tell(from *rigEntry, most time.Duration) []time.Duration {
-	alive := r.alive()
+// spread makes an entry spread an urgent update, and returns the times until it reached each other running
+// entry, in ascending order. An entry that it has not reached within limit counts as limit.
+func (r *rig) spread(from *rigEntry, limit time.Duration) []time.Duration {
+	running := r.running()
 	r.mu.Lock()
-	r.news, r.told = fmt.Sprint("u", r.rng.Uint64()), 0
-	for _, e := range alive {
-		e.knows = time.Time{}
+	r.update, r.informed = fmt.Sprint("u", r.rng.Uint64()), 0
+	for _, e := range running {
+		e.informedAt = time.Time{}
 	}
-	from.leaving = []string{r.news}
+	from.leaving = []string{r.update}
 	start := time.Now()
 	r.mu.Unlock()
 	from.node.Urge()
-	for time.Since(start) < most {
+	for time.Since(start) < limit {
 		time.Sleep(5 * time.Millisecond)
 		r.mu.Lock()
-		done := r.told >= len(alive)-1
+		done := r.informed >= len(running)-1
 		r.mu.Unlock()
 		if done {
 			break
@@ -192,27 +193,28 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []time.Duration
-	for _, e := range alive {
+	for _, e := range running {
 		switch {
 		case e == from:
-		case e.knows.IsZero():
-			out = append(out, most)
+		case e.informedAt.IsZero():
+			out = append(out, limit)
 		default:
-			out = append(out, e.knows.Sub(start))
+			out = append(out, e.informedAt.Sub(start))
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// traffic is what the entries sent in a time: the mean, and that of the busiest one.
+// traffic is the mean number of messages and bytes per second and entry, and the message rate of the
+// busiest entry.
 type traffic struct {
 	messages, bytes, busiest float64
 }
 
-// count counts what the entries that run send while f runs.
-func (r *rig) count(f func()) traffic {
-	all := r.alive()
+// trafficDuring measures the traffic of the running entries while f runs.
+func (r *rig) trafficDuring(f func()) traffic {
+	all := r.running()
 	r.mu.Lock()
 	for _, e := range all {
 		e.messages, e.bytes = 0, 0
@@ -232,17 +234,17 @@
 	return t
 }
 
-// heardBy is the number of others that each entry hears, the least first.
-func (r *rig) heardBy() []int {
+// liveCounts returns the number of live peers of each running entry, in ascending order.
+func (r *rig) liveCounts() []int {
 	var out []int
-	for _, e := range r.alive() {
+	for _, e := range r.running() {
 		out = append(out, len(e.node.Peers()))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// rigConn is the network as one entry sees it.
+// rigConn is the connection of one entry to the simulated network.
 type rigConn struct{ e *rigEntry }
 
 // WriteTo sends a datagram, which may be lost.
@@ -252,16 +254,16 @@
 	defer r.mu.Unlock()
 	c.e.messages++
 	c.e.bytes += len(b)
-	to, ok := r.at[addr.String()]
+	to, ok := r.byAddress[addr.String()]
 	if !ok || to.dead || c.e.dead || r.rng.Float64() < r.loss {
 		return len(b), nil
 	}
-	way := rigNear
-	if to.listed.Zone != c.e.listed.Zone {
-		way = rigFar
+	delay := rigZoneDelay
+	if to.entry.Zone != c.e.entry.Zone {
+		delay = rigCrossZoneDelay
 	}
 	d := rigDatagram{c.e.addr, slices.Clone(b)}
-	time.AfterFunc(way, func() {
+	time.AfterFunc(delay, func() {
 		select {
 		case to.inbox <- d:
 		default:
--- a/internal/gossip/scale_test.go
+++ b/internal/gossip/scale_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-var measured = flag.Bool("measure", false, "print the figures of entries that speak to each other, at 103, 412 and 1,000")
+var measure = flag.Bool("measure", false, "print message rates and spread times of deployments with 103, 412 and 1,000 entries")
 
-// onRig runs f on a rig of entries that started within 300 ms and had time to find each other.
+// onRig runs f on a rig whose entries have started within 300 ms.
 func onRig(t *testing.T, entries int, loss float64, f func(t *testing.T, r *rig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -25,150 +25,152 @@
 	})
 }
 
-func middle[T any](sorted []T) T { return sorted[len(sorted)/2] }
+func median[T any](sorted []T) T { return sorted[len(sorted)/2] }
 
-func ninetyNine[T any](sorted []T) T { return sorted[len(sorted)*99/100] }
+func percentile99[T any](sorted []T) T { return sorted[len(sorted)*99/100] }
 
-// many is a number of entries with which zones have delegates of their own.
-const many = 150
+// manyEntries is a size of a deployment at which each zone has its own delegates.
+const manyEntries = 150
 
-// TestEntriesThatStartTogetherFindAll: each read the list of entries once, before some of the others
-// had written their rows.
+// TestEntriesThatStartTogetherFindAll checks that entries find each other although each has read the list
+// of entries only once, before some of the others had written their records.
 func TestEntriesThatStartTogetherFindAll(t *testing.T) {
-	onRig(t, many, 0.02, func(t *testing.T, r *rig) {
+	onRig(t, manyEntries, 0.02, func(t *testing.T, r *rig) {
 		time.Sleep(5 * time.Second)
-		if heard := r.heardBy(); heard[0] != many-1 {
-			t.Errorf("one hears %d others, want all %d", heard[0], many-1)
+		if live := r.liveCounts(); live[0] != manyEntries-1 {
+			t.Errorf("one entry has %d live peers, want %d", live[0], manyEntries-1)
 		}
 	})
 }
 
-// TestEntryThatAppearsCostsEachOneMessage: it needs the state of all others, and they need no more
-// than its own. A message of each to all others is the square of their number.
+// TestEntryThatAppearsCostsEachOneMessage bounds the messages that a new entry causes. It needs the state of
+// all others, and they need only its own. If every entry instead sent a message to all others, the number of
+// messages would be the square of the number of entries.
 func TestEntryThatAppearsCostsEachOneMessage(t *testing.T) {
-	onRig(t, many, 0, func(t *testing.T, r *rig) {
+	onRig(t, manyEntries, 0, func(t *testing.T, r *rig) {
 		time.Sleep(5 * time.Second)
 		const lasts = time.Second
-		calm := r.count(func() { time.Sleep(lasts) })
-		joined := r.count(func() {
+		baseline := r.trafficDuring(func() { time.Sleep(lasts) })
+		joined := r.trafficDuring(func() {
 			for range 10 {
-				r.join(len(r.alive()))
+				r.join(len(r.running()))
 				time.Sleep(lasts / 10)
 			}
 		})
-		if more := joined.messages - calm.messages; more > 40 {
-			t.Errorf("10 entries that appear cost each other one %.0f messages, want some 20", more)
+		if more := joined.messages - baseline.messages; more > 40 {
+			t.Errorf("10 new entries cost each other entry %.0f messages, want about 20", more)
 		}
 	})
 }
 
-// TestUrgentMessagesAreBounded covers the worst load: all entries meet faults all the time, as when
-// a zone of upstreams is lost. Each entry that tells all others by itself sends and reads ten times
-// the number of entries a second, which took 37 % of a small machine's processor with 412.
+// TestUrgentMessagesAreBounded bounds the message rates under the highest load: all entries meet faults all
+// the time, as after the loss of a zone of upstreams. Without delegates each entry would send and receive ten
+// messages per second and entry, which takes 37 % of the processor of a small machine with 412 entries.
 func TestUrgentMessagesAreBounded(t *testing.T) {
-	onRig(t, many, 0, func(t *testing.T, r *rig) {
+	onRig(t, manyEntries, 0, func(t *testing.T, r *rig) {
 		time.Sleep(5 * time.Second)
-		calm := r.count(func() { time.Sleep(2 * time.Second) })
-		storm := r.count(func() { r.storm(2 * time.Second) })
-		if more := storm.messages - calm.messages; more > 120 {
-			t.Errorf("%.0f messages a second more than in calm, want a hundred at most", more)
+		baseline := r.trafficDuring(func() { time.Sleep(2 * time.Second) })
+		loaded := r.trafficDuring(func() { r.urgeAll(2 * time.Second) })
+		if more := loaded.messages - baseline.messages; more > 120 {
+			t.Errorf("%.0f messages a second more than without load, want a hundred at most", more)
 		}
-		if more := storm.busiest - calm.busiest; more > spreadRate {
-			t.Errorf("a delegate sends %.0f messages a second more, want %d at most", more, spreadRate)
+		if more := loaded.busiest - baseline.busiest; more > maxForwardRate {
+			t.Errorf("a delegate sends %.0f messages a second more, want %d at most", more, maxForwardRate)
 		}
 	})
 }
 
-// TestUrgentNewsReachesAll covers the time until all know of something urgent, which Told promises.
-func TestUrgentNewsReachesAll(t *testing.T) {
+// TestUrgentStateReachesAll checks the time that Told promises for an urgent state to reach all entries.
+func TestUrgentStateReachesAll(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		loss  float64
-		upset func(r *rig)
-		// all is the time by which all have heard, ninetyNine that by which 99 of 100 have.
-		ninetyNine, all time.Duration
+		name    string
+		loss    float64
+		disturb func(r *rig)
+		// p99 and all bound the time until 99 % and all of the entries have the state.
+		p99, all time.Duration
 	}{
-		{"in calm", 0, func(*rig) {}, echoWithin, echoWithin},
-		{"one message in fifty is lost", 0.02, func(*rig) {}, echoWithin, spreadWithin},
-		{"the delegates were killed", 0, func(r *rig) { r.killDelegates() }, spreadWithin, spreadWithin},
-		{"55 of 100 were killed", 0.02, func(r *rig) { r.killMost() }, spreadWithin, 2 * spreadWithin},
-		{"all tell news at once", 0, func(r *rig) { r.storm(time.Second) }, spreadWithin, spreadWithin},
+		{"no fault", 0, func(*rig) {}, forwardTimeout, forwardTimeout},
+		{"one of 50 messages is lost", 0.02, func(*rig) {}, forwardTimeout, spreadTimeout},
+		{"the delegates were killed", 0, func(r *rig) { r.killDelegates() }, spreadTimeout, spreadTimeout},
+		{"55 of 100 were killed", 0.02, func(r *rig) { r.killMost() }, spreadTimeout, 2 * spreadTimeout},
+		{"all entries spread urgent states", 0, func(r *rig) { r.urgeAll(time.Second) }, spreadTimeout, spreadTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			onRig(t, many, tc.loss, func(t *testing.T, r *rig) {
+			onRig(t, manyEntries, tc.loss, func(t *testing.T, r *rig) {
 				time.Sleep(5 * time.Second)
-				tc.upset(r)
-				told := r.tell(r.alive()[0], 10*time.Second)
-				if got := ninetyNine(told); got > tc.ninetyNine {
-					t.Errorf("99 of 100 know it after %s, want %s", got, tc.ninetyNine)
+				tc.disturb(r)
+				spread := r.spread(r.running()[0], 10*time.Second)
+				if got := percentile99(spread); got > tc.p99 {
+					t.Errorf("99 %% of the entries have it after %s, want %s", got, tc.p99)
 				}
-				if got := told[len(told)-1]; got > tc.all {
-					t.Errorf("all know it after %s, want %s", got, tc.all)
+				if got := spread[len(spread)-1]; got > tc.all {
+					t.Errorf("all entries have it after %s, want %s", got, tc.all)
 				}
 			})
 		})
 	}
 }
 
-// TestNewsThatNoDelegatePassesOn: an entry whose delegates failed a moment ago tells all directly.
-// Regular messages are too rare here to carry the news in time.
-func TestNewsThatNoDelegatePassesOn(t *testing.T) {
+// TestStateThatNoDelegateForwards checks that an entry sends an urgent state to all others directly if its
+// delegates have just failed. The regular interval is a minute here, so that no regular message spreads the
+// state in time.
+func TestStateThatNoDelegateForwards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		r := newRig(ctx, 7, 0)
 		r.every = time.Minute
-		r.start(many, 300*time.Millisecond)
+		r.start(manyEntries, 300*time.Millisecond)
 		time.Sleep(5 * time.Second)
 		r.killDelegates()
-		if told := r.tell(r.alive()[0], 10*time.Second); told[len(told)-1] > spreadWithin {
-			t.Errorf("all know it after %s, want %s", told[len(told)-1], spreadWithin)
+		if spread := r.spread(r.running()[0], 10*time.Second); spread[len(spread)-1] > spreadTimeout {
+			t.Errorf("all entries have it after %s, want %s", spread[len(spread)-1], spreadTimeout)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestSilentEntriesAreForgottenSoon: those of other zones get a message rarely, and go by the word
-// of the delegates that hear an entry often.
+// TestSilentEntriesAreForgottenSoon checks that entries of all zones detect killed entries soon. Messages
+// between zones are rare, so the delegates of the own zone of a killed entry must report it silent.
 func TestSilentEntriesAreForgottenSoon(t *testing.T) {
-	onRig(t, many, 0.02, func(t *testing.T, r *rig) {
+	onRig(t, manyEntries, 0.02, func(t *testing.T, r *rig) {
 		time.Sleep(5 * time.Second)
-		for i, e := range r.alive() {
+		for i, e := range r.running() {
 			if i%10 == 0 {
 				e.kill()
 			}
 		}
-		left := len(r.alive())
+		running := len(r.running())
 		time.Sleep(2500 * time.Millisecond)
-		if heard := r.heardBy(); heard[left-1] != left-1 || heard[0] != left-1 {
-			t.Errorf("entries hear %d to %d others, want the %d that run", heard[0], heard[left-1], left-1)
+		if live := r.liveCounts(); live[running-1] != running-1 || live[0] != running-1 {
+			t.Errorf("entries have %d to %d live peers, want %d", live[0], live[running-1], running-1)
 		}
 	})
 }
 
-// killDelegates ends the entries on the largest machines of all zones.
+// killDelegates ends the entries on large machines, except the first entry.
 func (r *rig) killDelegates() {
-	for i, e := range r.alive() {
-		if e.listed.Size == rigLarge && i > 0 {
+	for i, e := range r.running() {
+		if e.entry.Size == rigLarge && i > 0 {
 			e.kill()
 		}
 	}
 }
 
-// killMost ends 55 of 100 entries.
+// killMost ends 55 % of the entries.
 func (r *rig) killMost() {
-	for i, e := range r.alive() {
+	for i, e := range r.running() {
 		if i%20 < 12 && i%20 > 0 {
 			e.kill()
 		}
 	}
 }
 
-// TestMeasureEntries prints how the messages of entries, and the time until all know of something
-// urgent, grow with their number.
+// TestMeasureEntries prints message rates and the spread times of urgent states for growing numbers of
+// entries.
 func TestMeasureEntries(t *testing.T) {
-	if !*measured {
+	if !*measure {
 		t.Skip("prints figures only; run with -measure")
 	}
 	for _, n := range []int{103, 412, 1000} {
@@ -181,27 +183,27 @@
 }
 
 func measureOn(t *testing.T, r *rig, what string) {
-	start := r.count(func() { time.Sleep(3 * time.Second) })
-	heard := r.heardBy()
+	starting := r.trafficDuring(func() { time.Sleep(3 * time.Second) })
+	live := r.liveCounts()
 	time.Sleep(10 * time.Second)
-	calm := r.count(func() { time.Sleep(3 * time.Second) })
-	told := r.tell(r.entries[0], 20*time.Second)
-	storm := r.count(func() { r.storm(2 * time.Second) })
+	idle := r.trafficDuring(func() { time.Sleep(3 * time.Second) })
+	spread := r.spread(r.entries[0], 20*time.Second)
+	loaded := r.trafficDuring(func() { r.urgeAll(2 * time.Second) })
 	r.killMost()
-	after := r.tell(r.alive()[0], 20*time.Second)
+	spreadAfter := r.spread(r.running()[0], 20*time.Second)
 	killed := time.Now()
-	for time.Since(killed) < time.Minute && r.heardBy()[len(r.alive())-1] >= len(r.alive()) {
+	for time.Since(killed) < time.Minute && r.liveCounts()[len(r.running())-1] >= len(r.running()) {
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Logf("%s: messages a second in the first 3 s %.0f, busiest %.0f, heard by then %d to %d; in calm %.0f, busiest %.0f, %.0f KB/s; all urge: %.0f, busiest %.0f; urgent news known to half, 99 %%, all after %s, %s, %s; after 55 %% were killed %s, %s, %s; all of these forgotten after %s",
-		what, start.messages, start.busiest, heard[0], heard[len(heard)-1], calm.messages, calm.busiest, calm.bytes/1000, storm.messages, storm.busiest,
-		middle(told), ninetyNine(told), told[len(told)-1], middle(after), ninetyNine(after), after[len(after)-1], time.Since(killed))
+	t.Logf("%s: messages per second in the first 3 s %.0f, busiest %.0f, then %d to %d live peers; idle %.0f, busiest %.0f, %.0f KB/s; all entries urgent: %.0f, busiest %.0f; urgent state at half, 99 %%, all entries after %s, %s, %s; after 55 %% were killed %s, %s, %s; all of these silent after %s",
+		what, starting.messages, starting.busiest, live[0], live[len(live)-1], idle.messages, idle.busiest, idle.bytes/1000, loaded.messages, loaded.busiest,
+		median(spread), percentile99(spread), spread[len(spread)-1], median(spreadAfter), percentile99(spreadAfter), spreadAfter[len(spreadAfter)-1], time.Since(killed))
 }
 
-// storm lets all entries meet faults all the time.
-func (r *rig) storm(lasts time.Duration) {
+// urgeAll makes all entries urge every 50 ms for a time.
+func (r *rig) urgeAll(lasts time.Duration) {
 	for start := time.Now(); time.Since(start) < lasts; time.Sleep(50 * time.Millisecond) {
-		for _, e := range r.alive() {
+		for _, e := range r.running() {
 			e.node.Urge()
 		}
 	}
--- a/internal/gossip/silent.go
+++ b/internal/gossip/silent.go
@@ -6,61 +6,64 @@
 	"github.com/sparshore/sparshore/internal/events"
 )
 
-// silentToldFor is the time for which it is told that an entry is not heard: until the delegates
-// that failed at the same moment are replaced.
-const silentToldFor = 2 * time.Second
+// silentReportPeriod is how long an entry is reported after it became silent. Delegates that failed at
+// the same moment are replaced within this time.
+const silentReportPeriod = 2 * time.Second
 
-// tellSilent has it passed on which entries of the own zone are not heard any more: those of other
-// zones would notice much later. It needs the lock.
-func (n *Node) tellSilent(now time.Time) {
+// reportSilent queues reports about silent entries of the own zone for the delegates of other zones,
+// where messages of these entries arrive rarely and their silence would be detected much later. The
+// caller must hold n.mu.
+func (n *Node) reportSilent(now time.Time) {
 	for name, p := range n.peers {
-		if p.lost && p.State.Zone == n.settings.Zone && now.Sub(p.lostAt) < silentToldFor {
-			n.out.others.silent[name] = wireSilent{Name: name, Life: p.life}
-			ask(n.passing)
+		if p.silent && p.State.Zone == n.settings.Zone && now.Sub(p.silentSince) < silentReportPeriod {
+			n.outbox.otherDelegates.silent[name] = wireSilent{Name: name, Life: p.incarnation}
+			signal(n.forwardDue)
 		}
 	}
 }
 
-// silentFor is the number of regular messages that an entry has missed when the word of others of
-// its zone is believed.
-const silentFor = 1.5
+// reportedSilentIntervals is the silence timeout, in regular intervals, of an entry that was reported
+// silent.
+const reportedSilentIntervals = 1.5
 
-// takeSilent doubts the entries that others of their zone do not hear.
-func (n *Node) takeSilent(b bundleBody) {
+// receiveSilent stores the reports of silent entries in a bundle, and forwards those from other zones
+// to the own zone.
+func (n *Node) receiveSilent(b bundleBody) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, w := range b.Silent {
 		p, ok := n.peers[w.Name]
-		if !ok || p.life != w.Life || !n.mayDoubt(b.From, p) {
+		if !ok || p.incarnation != w.Life || !n.mayReport(b.From, p) {
 			continue
 		}
-		p.doubted = true
+		p.reportedSilent = true
 		if b.Part == toOtherDelegates {
-			n.out.zone.silent[w.Name] = w
-			ask(n.passing)
+			n.outbox.zone.silent[w.Name] = w
+			signal(n.forwardDue)
 		}
 	}
 }
 
-// silenceToForget is the silence after which an entry is forgotten: sooner if others of its zone
-// do not hear it either. It needs the lock.
-func (n *Node) silenceToForget(p *peer) time.Duration {
+// silenceTimeout returns the time without a message after which a peer is marked as silent. It is
+// shorter for a peer that was reported silent. The caller must hold n.mu.
+func (n *Node) silenceTimeout(p *peer) time.Duration {
 	every, _, forget := n.settings.timing(n.sizes[n.group(p)])
-	if p.doubted {
-		return min(time.Duration(silentFor*float64(every)), forget)
+	if p.reportedSilent {
+		return min(time.Duration(reportedSilentIntervals*float64(every)), forget)
 	}
 	return forget
 }
 
-// mayDoubt reports whether what an entry says of another one raises a doubt: it is of that one's
-// zone, or of the own one, which passes it on. It needs the lock.
-func (n *Node) mayDoubt(from string, of *peer) bool {
+// mayReport reports whether an entry is trusted to report a peer as silent: it is live, and it is in
+// the zone of that peer or, as a delegate that forwards reports, in the own zone. The caller must hold
+// n.mu.
+func (n *Node) mayReport(from string, about *peer) bool {
 	p, ok := n.peers[from]
-	return ok && !p.lost && (p.State.Zone == of.State.Zone || p.State.Zone == n.settings.Zone)
+	return ok && !p.silent && (p.State.Zone == about.State.Zone || p.State.Zone == n.settings.Zone)
 }
 
-// lose forgets an entry that is not heard. It needs the lock.
-func (n *Node) lose(name string, p *peer, now time.Time) {
-	p.lost, p.lostAt = true, now
+// markSilent marks a peer as silent and records that. The caller must hold n.mu.
+func (n *Node) markSilent(name string, p *peer, now time.Time) {
+	p.silent, p.silentSince = true, now
 	n.rec.Note(events.EntrySilent, "", "peer", name, "heard-before", now.Sub(p.Heard))
 }
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -9,54 +9,54 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// With many entries no entry sends what is urgent to all others itself. It goes to the delegates of
-// the own zone, from there to those of the other zones, and from each delegate to its zone. A
-// delegate passes on in one message what reached it in a while, so the messages that an entry gets
-// and sends are bounded, however many have something urgent to tell.
+// In a large deployment an entry does not send an urgent state to all others itself. The state takes
+// three hops: to the delegates of the own zone, from there to the delegates of the other zones, and
+// from each delegate to the entries of its zone. A delegate collects the states that arrive within
+// forwardInterval or longer and forwards them together. The message rate of every entry is thus
+// bounded, however many entries have an urgent state at once.
 
-// The parts of the way.
+// The hops of an urgent state.
 const (
-	// toOwnDelegates leads from an entry to the delegates of its zone.
+	// toOwnDelegates is the hop from an entry to the delegates of its zone.
 	toOwnDelegates = iota
-	// toOtherDelegates leads on to the delegates of other zones.
+	// toOtherDelegates is the hop from a delegate to the delegates of other zones.
 	toOtherDelegates
-	// toZone leads from a delegate to the entries of its zone.
+	// toZone is the hop from a delegate to the entries of its zone.
 	toZone
 )
 
 const (
-	// spreadLeast is the least time between two messages in which a delegate passes news on.
-	spreadLeast = 50 * time.Millisecond
-	// spreadRate bounds the messages a second by which a delegate passes news on: with large
-	// zones they are further apart.
-	spreadRate = 1500
-	// echoWithin is the time in which an entry hears its own news from a delegate: three parts
-	// of the way, and a busy processor.
-	echoWithin = 300 * time.Millisecond
-	// lagsMissed is the number of the times in which own news came back lately, after which it
-	// counts as not passed on: delegates that have much to pass on are no reason to tell all
-	// directly.
-	lagsMissed = 3
-	// spreadWithin is the time in which all hear of news, also if the delegates of the zone fail,
-	// all others are told directly, and one message is lost.
-	spreadWithin = 4 * echoWithin
-	// mostHeld bounds how old a state may be that is passed on, and clockSlack how far the clock of
-	// its entry may be ahead of what its own messages tell.
-	mostHeld   = 10 * time.Second
-	clockSlack = time.Second
-	// mostBundle bounds a message with news, in bytes.
-	mostBundle = 16 << 10
+	// forwardInterval is the minimum time between two rounds in which a delegate forwards states.
+	forwardInterval = 50 * time.Millisecond
+	// maxForwardRate bounds the messages per second with which a delegate forwards states. In large
+	// zones it makes the rounds less frequent.
+	maxForwardRate = 1500
+	// forwardTimeout is the minimum time that an entry waits for its own state to come back from a
+	// delegate. It allows for three hops and a busy processor.
+	forwardTimeout = 300 * time.Millisecond
+	// forwardLagFactor times the latest forwardLag is the time to wait if that is longer. Delegates
+	// that are only slow under load must not cause direct messages to all entries.
+	forwardLagFactor = 3
+	// spreadTimeout is the time within which an urgent state reaches all entries, even if the delegates
+	// of the zone fail, direct messages are sent instead, and one message is lost.
+	spreadTimeout = 4 * forwardTimeout
+	// maxForwardAge bounds the age of a forwarded state. clockSlack bounds how far the send time of a
+	// forwarded state may be ahead of the clock of its entry, as estimated from the entry's messages.
+	maxForwardAge = 10 * time.Second
+	clockSlack    = time.Second
+	// maxBundleBytes bounds the encoded states in one bundle, unless a single state is larger.
+	maxBundleBytes = 16 << 10
 )
 
-// byZone reports whether there are so many entries that what is urgent goes through delegates.
-func (n *Node) byZone() bool {
+// usesDelegates reports whether the deployment is so large that urgent states go through delegates.
+func (n *Node) usesDelegates() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return roster.ByZone(n.entriesHeard())
+	return roster.ByZone(n.entryCount())
 }
 
-// spreadUrgent sends the own state on its way, or asks for a round to all others, each time it is
-// urged to, until ctx ends.
+// spreadUrgent spreads the own state on each call of Urge, through delegates or by a round of direct
+// messages, until ctx is done.
 func (n *Node) spreadUrgent(ctx context.Context) {
 	for {
 		select {
@@ -64,16 +64,17 @@
 			return
 		case <-n.urged:
 		}
-		if !n.byZone() {
+		if !n.usesDelegates() {
 			n.UrgeEach()
 			continue
 		}
 		n.spreadOwn(ctx)
-		pause(ctx, n.settings.Urgent)
+		sleep(ctx, n.settings.Urgent)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a time or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -82,91 +83,95 @@
 	}
 }
 
-// spreadOwn sends the own state to the delegates of the zone. If no delegate passes it on, all
-// others are told directly.
+// spreadOwn sends the own state to the delegates of the zone. If it does not come back from a delegate
+// in time, direct messages to all entries follow.
 func (n *Node) spreadOwn(ctx context.Context) {
 	s, now := n.collect(), n.now()
-	running := now.Sub(n.start)
-	version, body, err := encodeBody(n.settings, s, running, now)
+	uptime := now.Sub(n.start)
+	version, body, err := encodeBody(n.settings, s, uptime, now)
 	if err != nil {
 		n.rec.Note(events.GossipRejected, "", "peer", n.settings.Name, "error", err)
 		return
 	}
-	own := news{version: version, body: body, made: now}
+	own := stateUpdate{version: version, body: body, made: now}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delegates := n.delegatesOf(n.settings.Zone, now)
 	if slices.Contains(delegates, n.settings.Name) {
-		n.out.zone.states[n.settings.Name], n.out.others.states[n.settings.Name] = own, own
-		ask(n.passing)
+		n.outbox.zone.states[n.settings.Name], n.outbox.otherDelegates.states[n.settings.Name] = own, own
+		signal(n.forwardDue)
 		return
 	}
 	for _, name := range delegates {
-		n.writeBundle(n.peers[name], bundleBody{Part: toOwnDelegates, States: []wireState{own.wire(now)}}, now)
+		n.writeBundle(n.peers[name], bundleBody{Part: toOwnDelegates, States: []wireState{own.toWire(now)}}, now)
 	}
-	sent := running.Nanoseconds() + 1
-	time.AfterFunc(max(echoWithin, lagsMissed*n.lag), func() {
-		if ctx.Err() != nil || n.passedOn(sent) {
+	sent := uptime.Nanoseconds() + 1
+	time.AfterFunc(max(forwardTimeout, forwardLagFactor*n.forwardLag), func() {
+		if ctx.Err() != nil || n.ownStateForwarded(sent) {
 			return
 		}
 		n.rec.Note(events.NewsNotPassedOn, "", "delegates", delegates)
 		n.UrgeEach()
-		if n.again() {
+		if n.retryForward() {
 			n.Urge()
 		}
 	})
 }
 
-// againMost is the number of times that news is given to the delegates again.
-const againMost = 2
+// maxForwardRetries is the number of times that an own state is sent to the delegates again.
+const maxForwardRetries = 2
 
-// again reports whether news that was not passed on is given to the delegates again: those that
-// failed may be replaced by then.
-func (n *Node) again() bool {
+// retryForward counts an own state that was not forwarded, and reports whether it is sent to the
+// delegates again. Failed delegates may have been replaced by then.
+func (n *Node) retryForward() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tries++
-	return n.tries <= againMost
+	n.failedForwards++
+	return n.failedForwards <= maxForwardRetries
 }
 
-// passedOn reports whether the own state of a moment, or a later one, came back.
-func (n *Node) passedOn(sent int64) bool {
+// ownStateForwarded reports whether the own state of a send time, or a later one, came back from a
+// delegate, and counts it if not.
+func (n *Node) ownStateForwarded(sent int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.ownPassed < sent {
+	if n.ownForwarded < sent {
 		n.stats.NotPassedOn++
 		return false
 	}
-	n.tries = 0
+	n.failedForwards = 0
 	return true
 }
 
-// delegatesOf returns the names of the delegates of a zone, of those heard lately. It needs the lock.
+// delegatesOf returns the names of the delegates of a zone, chosen among this entry and the live peers
+// that are not stale. The caller must hold n.mu.
 func (n *Node) delegatesOf(zone string, now time.Time) []string {
-	var in []roster.Candidate
+	var candidates []roster.Candidate
 	if zone == n.settings.Zone {
-		in = append(in, roster.Candidate{Name: n.settings.Name, Zone: zone, Size: n.settings.Entry.Size})
+		candidates = append(candidates, roster.Candidate{Name: n.settings.Name, Zone: zone, Size: n.settings.Entry.Size})
 	}
 	for name, p := range n.peers {
-		if !p.lost && p.State.Zone == zone && now.Sub(p.Heard) <= n.silenceOf(n.group(p)) {
-			in = append(in, roster.Candidate{Name: name, Zone: zone, Size: p.Size})
+		if !p.silent && p.State.Zone == zone && now.Sub(p.Heard) <= n.groupStaleAfter(n.group(p)) {
+			candidates = append(candidates, roster.Candidate{Name: name, Zone: zone, Size: p.Size})
 		}
 	}
 	var out []string
-	for _, c := range roster.Delegates(in, zone) {
+	for _, c := range roster.Delegates(candidates, zone) {
 		out = append(out, c.Name)
 	}
 	return out
 }
 
-// markDelegates notes who the delegates are. Those hear each other as often as entries of one zone
-// do, so that one that fails is replaced soon. It needs the lock.
-func (n *Node) markDelegates(now time.Time) {
-	n.delegate, n.markedAt = false, now
+// updateDelegates determines the delegates of all zones; a small deployment has none. If this entry is
+// a delegate, it reports silent entries. Delegates are near each other, with the message interval of
+// entries in one zone, so that a failed delegate is detected and replaced soon. The caller must hold
+// n.mu.
+func (n *Node) updateDelegates(now time.Time) {
+	n.delegate, n.delegatesUpdated = false, now
 	for _, p := range n.peers {
 		p.delegate = false
 	}
-	if !roster.ByZone(n.entriesHeard()) {
+	if !roster.ByZone(n.entryCount()) {
 		return
 	}
 	for _, zone := range append(n.otherZones(), n.settings.Zone) {
@@ -178,56 +183,56 @@
 			}
 		}
 	}
-	n.count()
+	n.countGroups()
 	if n.delegate {
-		n.tellSilent(now)
+		n.reportSilent(now)
 	}
 }
 
-// passOn passes on what came in until ctx ends.
-func (n *Node) passOn(ctx context.Context) {
+// forwardLoop sends the outbox whenever something is queued, until ctx is done.
+func (n *Node) forwardLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.passing:
+		case <-n.forwardDue:
 		}
-		messages := n.passOut()
-		pause(ctx, max(spreadLeast, time.Duration(messages)*time.Second/spreadRate))
+		messages := n.forward()
+		sleep(ctx, max(forwardInterval, time.Duration(messages)*time.Second/maxForwardRate))
 	}
 }
 
-// passOut sends what is to be passed on, and returns the number of messages.
-func (n *Node) passOut() int {
+// forward sends the outbox, and returns the number of messages.
+func (n *Node) forward() int {
 	now := n.now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := n.out
-	n.out = newOutbox()
+	out := n.outbox
+	n.outbox = newOutbox()
 	messages := 0
 	defer func() { n.stats.PassedOn += messages }()
 	for _, p := range n.peers {
-		if p.lost || p.State.Zone != n.settings.Zone {
+		if p.silent || p.State.Zone != n.settings.Zone {
 			continue
 		}
 		messages += n.writeBundles(p, toZone, out.zone, now)
 	}
-	if out.others.empty() {
+	if out.otherDelegates.empty() {
 		return messages
 	}
 	for _, zone := range n.otherZones() {
 		for _, name := range n.delegatesOf(zone, now) {
-			messages += n.writeBundles(n.peers[name], toOtherDelegates, out.others, now)
+			messages += n.writeBundles(n.peers[name], toOtherDelegates, out.otherDelegates, now)
 		}
 	}
 	return messages
 }
 
-// otherZones returns the zones of the entries that are heard, but for the own one. It needs the lock.
+// otherZones returns the zones of the live peers, without the own zone. The caller must hold n.mu.
 func (n *Node) otherZones() []string {
 	var out []string
 	for _, p := range n.peers {
-		if zone := p.State.Zone; !p.lost && zone != "" && zone != n.settings.Zone && !slices.Contains(out, zone) {
+		if zone := p.State.Zone; !p.silent && zone != "" && zone != n.settings.Zone && !slices.Contains(out, zone) {
 			out = append(out, zone)
 		}
 	}
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -8,15 +8,15 @@
 	"github.com/sparshore/sparshore/internal/routing"
 )
 
-// Load is what one entry has in flight at one upstream.
+// Load is the load of requests in flight at one upstream, from one entry or as a sum over several.
 type Load struct {
-	// Running counts requests.
+	// Running is the number of requests.
 	Running int
-	// Tokens is the KV memory that they are expected to take, in tokens.
+	// Tokens is the KV memory that the requests are expected to take, in tokens.
 	Tokens int
-	// Prefill is the part of the prompts not read yet, in tokens.
+	// Prefill is the part of the prompts that is not processed yet, in tokens.
 	Prefill int
-	// Held is the KV memory that they take by now, prompts counted whole, in tokens.
+	// Held is the KV memory that the requests take now, in tokens. Prompts count in full.
 	Held int
 }
 
@@ -30,36 +30,36 @@
 	return Load{Running: l.Running - o.Running, Tokens: l.Tokens - o.Tokens, Prefill: l.Prefill - o.Prefill, Held: l.Held - o.Held}
 }
 
-// State is what an entry tells the others.
+// State is what an entry reports to the other entries.
 type State struct {
-	// Zone is the availability zone it runs in.
+	// Zone is the availability zone of the entry.
 	Zone string
-	// Relay is the IP:port at which it passes on what the store told it.
+	// Relay is the IP:port at which the entry serves data of the store to other entries.
 	Relay string
 	// Routes is the version of its route table.
 	Routes routetable.Version
-	// Confirmed is the steady time at which that version was known to be the
-	// newest; zero if it never was.
+	// Confirmed is the latest monotonic time at which that version was known to be the newest; zero if
+	// it never was.
 	Confirmed time.Time
-	// StopBy is the steady time at which a planned stop ends it; zero while none is
-	// under way.
+	// StopBy is the monotonic time at which a planned stop ends the entry; zero if none is under way.
 	StopBy time.Time
-	// StoreLost tells that it does not reach the platform's store itself.
+	// StoreLost is whether the entry itself cannot reach the platform's store.
 	StoreLost bool
-	// Loads are by upstream.
+	// Loads is the load that the entry has placed on each upstream.
 	Loads map[string]Load
-	// Leaving are upstreams known to leave.
+	// Leaving lists the upstreams that are known to be leaving.
 	Leaving []string
-	// Faults are the upstreams at which its requests met a fault lately, and the
-	// steady time of the latest one.
+	// Faults holds, by upstream, the monotonic time of the latest fault that the entry's requests met
+	// there recently.
 	Faults map[string]time.Time
-	// Failures are the numbers of requests that upstreams lately failed it.
+	// Failures is the number of requests of the entry that each upstream failed recently.
 	Failures map[string]int
-	// Retries is what it took of the retry budgets, by service.
+	// Retries is the entry's use of the retry budgets, by service.
 	Retries map[string]routing.Use
-	// Suspects is what it knows of requests under which upstreams ended.
+	// Suspects lists the requests that the entry knows to have run on upstreams when those crashed.
 	Suspects []quarantine.Word
-	// HeardUs is when the latest message was sent that it had of this entry, by the steady
-	// clock of this one; zero for none. It is not part of what is sent: an echo tells it.
+	// HeardUs is the send time of the receiver's latest message that had reached the sender of this
+	// State, by the receiver's monotonic clock; zero for none. It is not encoded: the receiver takes it
+	// from the echo.
 	HeardUs time.Time
 }
--- a/internal/gossip/stats.go
+++ b/internal/gossip/stats.go
@@ -1,25 +1,25 @@
 package gossip
 
-// Stats is how a Node is doing.
+// Stats holds the counters of a Node for metrics.
 type Stats struct {
-	// Heard is the number of other entries that are heard, and Silent that of those that are
-	// listed, or were heard, and are not.
+	// Heard is the number of live peers, and Silent that of silent peers, which are listed, were named
+	// or have been live.
 	Heard, Silent int
-	// Delegate tells that it passes on what others of its zone tell at once.
+	// Delegate is whether the entry is a delegate, which forwards urgent states of its zone.
 	Delegate bool
-	// PassedOn counts the messages in which it did, and NotPassedOn the own news that no
-	// delegate passed on in time.
+	// PassedOn counts the messages with which the entry forwarded states, and NotPassedOn the own
+	// states that no delegate forwarded in time.
 	PassedOn, NotPassedOn int
 }
 
-// Stats returns how the Node is doing.
+// Stats returns the current counters.
 func (n *Node) Stats() Stats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.stats
 	s.Delegate = n.delegate
 	for _, p := range n.peers {
-		if p.lost {
+		if p.silent {
 			s.Silent++
 		} else {
 			s.Heard++
--- a/internal/gossip/timing.go
+++ b/internal/gossip/timing.go
@@ -6,93 +6,92 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// group is a set of peers that get messages equally often.
+// group is a set of peers that get messages at the same interval.
 type group int
 
 const (
-	// near peers are of the own zone: they compete for the same upstreams most.
+	// near peers are in the own zone. They get messages more often because they compete for the same
+	// upstreams most. Between delegates the delegates of other zones are near too.
 	near group = iota
-	// far peers are of other zones.
+	// far peers are all others.
 	far
 	groups
 )
 
-// Settings are the fixed numbers of a Node.
+// Settings holds the identity and the timing of a Node.
 type Settings struct {
-	// Name is unique in the deployment; Zone is the availability zone.
+	// Name is the name of the entry, unique in the deployment, and Zone its availability zone.
 	Name string
 	Zone string
-	// Entry is how this entry is listed.
+	// Entry is the record of this entry in the list of entries.
 	Entry roster.Entry
-	// Life is different for each start of the process.
+	// Life identifies the incarnation; it is different for each start of the process.
 	Life string
-	// Every is the time between two messages to one peer while nothing happens.
+	// Every is the regular interval between two messages to one peer.
 	Every time.Duration
-	// Least is the least time between two messages to one peer.
+	// Least is the minimum interval between two messages to one peer after a Nudge.
 	Least time.Duration
-	// Urgent is the least time between two urgent messages to all peers.
+	// Urgent is the minimum interval between two rounds of urgent messages.
 	Urgent time.Duration
-	// Rate bounds the messages a second to the peers of the own zone, and as many to
-	// those of other zones; with many peers the times above and below grow to keep to
-	// it. Urgent messages are not counted.
+	// Rate bounds the messages per second to each group, urgent ones not counted. With many peers
+	// Every, Least and Forget grow to keep to it.
 	Rate int
-	// UrgentRate bounds the urgent messages a second to each group; 0 for no bound.
+	// UrgentRate bounds the urgent messages per second to each group; 0 for no bound.
 	UrgentRate int
-	// Forget is the silence after which a peer's state is no longer used.
+	// Forget is the silence timeout: the time without a message after which a peer is silent and its
+	// state is no longer used.
 	Forget time.Duration
 }
 
-// round is the time that a message to each of a number of peers takes under the
-// bound on all messages.
-func (s Settings) round(peers int) time.Duration {
+// roundTime returns the time that one message to each of a number of peers takes at Rate.
+func (s Settings) roundTime(peers int) time.Duration {
 	return time.Duration(peers) * time.Second / time.Duration(max(s.Rate, 1))
 }
 
-// urgentRound is the time that an urgent message to each of a number of peers takes under the
-// bound on those.
-func (s Settings) urgentRound(peers int) time.Duration {
+// urgentRoundTime returns the time that one message to each of a number of peers takes at UrgentRate.
+func (s Settings) urgentRoundTime(peers int) time.Duration {
 	if s.UrgentRate == 0 {
 		return 0
 	}
 	return time.Duration(peers) * time.Second / time.Duration(s.UrgentRate)
 }
 
-// timing returns the times between messages for a number of peers, and the
-// silence after which one is forgotten.
+// timing returns Every, Least and Forget, adapted to a number of peers. The silence timeout grows in
+// proportion to the regular interval, so that the number of missed messages is the same.
 func (s Settings) timing(peers int) (every, least, forget time.Duration) {
-	round := s.round(peers)
-	every, least = max(s.Every, round), max(s.Least, round)
+	roundTime := s.roundTime(peers)
+	every, least = max(s.Every, roundTime), max(s.Least, roundTime)
 	return every, least, time.Duration(float64(s.Forget) * float64(every) / float64(s.Every))
 }
 
-// asked is what was asked for since the latest message to a group.
-type asked int
+// urgency is how soon the next message to a group is wanted.
+type urgency int
 
 const (
-	nothing asked = iota
+	regular urgency = iota
 	nudge
 	urge
 )
 
-// schedule tells when the groups get their next messages.
+// schedule determines when the groups get their next messages.
 type schedule struct {
-	sent  [groups]time.Time
-	asked [groups]asked
+	sent    [groups]time.Time
+	urgency [groups]urgency
 }
 
-// ask notes that a message is wanted soon.
-func (s *schedule) ask(a asked) {
-	for g := range s.asked {
-		s.asked[g] = max(s.asked[g], a)
+// request raises the urgency of the next message to all groups.
+func (s *schedule) request(u urgency) {
+	for g := range s.urgency {
+		s.urgency[g] = max(s.urgency[g], u)
 	}
 }
 
-// at is when a group of a number of peers gets its next message.
-func (s *schedule) at(g group, settings Settings, peers int) time.Time {
+// sendAt returns when a group with a number of peers gets its next message.
+func (s *schedule) sendAt(g group, settings Settings, peers int) time.Time {
 	every, least, _ := settings.timing(peers)
-	switch s.asked[g] {
+	switch s.urgency[g] {
 	case urge:
-		return s.sent[g].Add(max(min(settings.Urgent, least), settings.urgentRound(peers)))
+		return s.sent[g].Add(max(min(settings.Urgent, least), settings.urgentRoundTime(peers)))
 	case nudge:
 		return s.sent[g].Add(least)
 	default:
@@ -100,51 +99,51 @@
 	}
 }
 
-// due returns the groups whose message is due, and takes them as sent.
+// due returns the groups whose message is due, and marks the message as sent.
 func (s *schedule) due(settings Settings, peers [groups]int, now time.Time) []group {
 	var out []group
 	for g := range groups {
-		if !now.Before(s.at(g, settings, peers[g])) {
-			s.sent[g], s.asked[g] = now, nothing
+		if !now.Before(s.sendAt(g, settings, peers[g])) {
+			s.sent[g], s.urgency[g] = now, regular
 			out = append(out, g)
 		}
 	}
 	return out
 }
 
-// next is when the next message is due.
+// next returns when the next message to any group is due.
 func (s *schedule) next(settings Settings, peers [groups]int) time.Time {
-	at := s.at(near, settings, peers[near])
-	if other := s.at(far, settings, peers[far]); other.Before(at) {
+	at := s.sendAt(near, settings, peers[near])
+	if other := s.sendAt(far, settings, peers[far]); other.Before(at) {
 		return other
 	}
 	return at
 }
 
-// meanWeight is the weight of a new message in the means of what was measured: with ten
-// messages a second from each of four peers they follow a change within seconds.
-const meanWeight = 0.02
+// averageWeight is the weight of a new sample in the moving averages. With ten messages per second from
+// each of four peers the averages follow a change within seconds.
+const averageWeight = 0.02
 
-// measure takes over how long messages take and how far apart they are. It needs the
-// lock.
+// measure updates the moving averages of the round-trip time and of the message interval. The caller
+// must hold n.mu.
 func (n *Node) measure(m message, p *peer, now time.Time) {
-	if g := n.group(p); !p.lost {
-		n.between[g] = mean(n.between[g], now.Sub(p.Heard))
+	if g := n.group(p); !p.silent {
+		n.meanInterval[g] = movingAverage(n.meanInterval[g], now.Sub(p.Heard))
 	}
-	if n.echoed(m) {
+	if n.echoesOwn(m) {
 		sent := n.start.Add(time.Duration(m.echo.Sent))
-		n.way = mean(n.way, max(now.Sub(sent)-time.Duration(m.echo.HeldUS)*time.Microsecond, 0))
+		n.roundTrip = movingAverage(n.roundTrip, max(now.Sub(sent)-time.Duration(m.echo.HeldUS)*time.Microsecond, 0))
 	}
 }
 
-// mean moves a mean towards a new value.
-func mean(of, value time.Duration) time.Duration {
-	return of + time.Duration(meanWeight*float64(value-of))
+// movingAverage returns the exponential moving average after a new value.
+func movingAverage(average, value time.Duration) time.Duration {
+	return average + time.Duration(averageWeight*float64(value-average))
 }
 
-// Delay is how long after the state of an entry of a zone changed it is expected to be
-// known here: half of the time between two messages, and the way. An entry that was
-// nudged sends as soon as the least time since its latest message is over.
+// Delay returns the expected time from a change of the state of an entry in a zone until the change is
+// known here: half of the message interval plus half of the round-trip time. After a Nudge the interval
+// is at most Settings.Least, adapted to the number of peers.
 func (n *Node) Delay(zone string, nudged bool) time.Duration {
 	g := far
 	if zone == n.settings.Zone {
@@ -152,66 +151,66 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	wait := n.between[g]
+	interval := n.meanInterval[g]
 	if nudged {
 		_, least, _ := n.settings.timing(n.sizes[g])
-		wait = min(wait, least)
+		interval = min(interval, least)
 	}
-	return (wait + n.way) / 2
+	return (interval + n.roundTrip) / 2
 }
 
-// Told is the time within which all others know of a change that they were urged to
-// hear of, even if one message is lost, and the silence after which one must not be counted
-// on any more.
-func (n *Node) Told() (told, silence time.Duration) {
+// Told returns the time after Urge within which all other entries know of a change, even if one message
+// is lost, and the time without a message after which a peer must not be relied on any more.
+func (n *Node) Told() (within, staleAfter time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if roster.ByZone(n.entriesHeard()) {
-		return n.settings.Urgent + spreadWithin + n.way, n.silence()
+	if roster.ByZone(n.entryCount()) {
+		return n.settings.Urgent + spreadTimeout + n.roundTrip, n.staleAfter()
 	}
-	return n.toldEach(), n.silence()
+	return n.directTimeout(), n.staleAfter()
 }
 
-// ToldEach is the same for what goes to each other one directly.
+// ToldEach returns the time after UrgeEach within which all other entries know of a change, even if one
+// message is lost.
 func (n *Node) ToldEach() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.toldEach()
+	return n.directTimeout()
 }
 
-// toldEach needs the lock.
-func (n *Node) toldEach() time.Duration {
-	most := max(n.sizes[near], n.sizes[far])
-	return max(n.settings.Urgent, n.settings.urgentRound(most)) + n.every() + n.way
+// directTimeout is ToldEach for callers that hold n.mu.
+func (n *Node) directTimeout() time.Duration {
+	peers := max(n.sizes[near], n.sizes[far])
+	return max(n.settings.Urgent, n.settings.urgentRoundTime(peers)) + n.regularInterval() + n.roundTrip
 }
 
-// entriesHeard is the number of entries, this one included. It needs the lock.
-func (n *Node) entriesHeard() int { return n.sizes[near] + n.sizes[far] + 1 }
+// entryCount returns the number of entries, this one and silent ones included and unverified ones not.
+// The caller must hold n.mu.
+func (n *Node) entryCount() int { return n.sizes[near] + n.sizes[far] + 1 }
 
-// Way is how long a message takes there and back, as a mean of the latest ones.
+// Way returns the moving average of the round-trip time to the peers.
 func (n *Node) Way() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.way
+	return n.roundTrip
 }
 
-// silence is the time without a message after which a peer must not be counted on. It needs
-// the lock.
-func (n *Node) silence() time.Duration { return tellsMissed * n.every() }
+// staleAfter returns the time without a message after which a peer must not be relied on. The caller
+// must hold n.mu.
+func (n *Node) staleAfter() time.Duration { return maxMissed * n.regularInterval() }
 
-// silenceOf is the same for the peers of a group. It needs the lock.
-func (n *Node) silenceOf(g group) time.Duration {
+// groupStaleAfter is staleAfter for the peers of one group. The caller must hold n.mu.
+func (n *Node) groupStaleAfter(g group) time.Duration {
 	every, _, _ := n.settings.timing(n.sizes[g])
-	return tellsMissed * every
+	return maxMissed * every
 }
 
-// every is the time between two messages of a peer of the larger group while nothing happens.
-// It needs the lock.
-func (n *Node) every() time.Duration {
+// regularInterval returns the regular interval between two messages of a peer of the larger group. The
+// caller must hold n.mu.
+func (n *Node) regularInterval() time.Duration {
 	every, _, _ := n.settings.timing(max(n.sizes[near], n.sizes[far]))
 	return every
 }
 
-// tellsMissed is the number of regular messages whose loss shows that an entry is not
-// heard.
-const tellsMissed = 3
+// maxMissed is the number of consecutive regular messages without which a peer counts as stale.
+const maxMissed = 3
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -74,7 +74,7 @@
 mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), keptPart\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
 mutant link-pairs internal/link/link.go 's/if p\.otherRequest\(c, req, resp\) \{/if false {/' internal/link TestAnswerToTheRequestBefore
 mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && quiet\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionsAreKept'
-mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfAnEarlierLife
+mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfEarlierIncarnation
 mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestWhenTheDelegate
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.firstHand && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
 mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRoutesOnlyGoUp
@@ -229,7 +229,7 @@
 # Faults of this program over what was read.
 mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestTableThatEndsNoReader
 mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
-mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.read\(b, addr\) \}\); err/if err := n.read(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestMessageThatEndsNoReader
+mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.handle\(b, addr\) \}\); err/if err := n.handle(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestPanicDoesNotStopReceiver
 mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
 mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestGenerationThatEndsNoSidecar
 
@@ -251,11 +251,11 @@
 mutant limits-most $limits/limits.go 's/full := len\(s\.limits\) >= mostLimits/full := false/' $limits TestLimitsAreBounded
 mutant limits-old-word $limits/message.go 's/out\.Over = ago\(sent/out.Over = ago(now/' $limits TestWords
 mutant limits-settled $limits/peers.go 's/ \|\| !p\.knows \|\| p\.asks//' $limits TestEntryThatStartsAnewAgreesWhoGrants
-mutant limits-asks $limits/peers.go 's/ \|\| p\.asks//' internal/gossip TestWhoIsToldOfLimits
+mutant limits-asks $limits/peers.go 's/ \|\| p\.asks//' internal/gossip TestReceiversOfLimitMessages
 mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestWhoMayGrant
-mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= silence//; s/silence, now := n\.silence\(\), n\.now\(\)/_ = n.silence()/' internal/gossip TestHeard
+mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestHeard
 mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestWhoMayGrant
-mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestWhenLimitsWereTold
+mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestSentNotBefore
 mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestUpstreamGetsWhatItTakes
 mutant limits-copy $gateway/continue.go 's/if err := s\.g\.await\(ctx, held\.at\.ID, s\.g\.now\(\)\.Add\(goOnWithin\)\); err != nil/if err := ctx.Err(); err != nil/' $gateway TestMovedGenerationNeedsAPermit
 mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.unlimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPassOverLimits
@@ -283,13 +283,13 @@
 mutant zone-confirmed internal/relay/server.go 's/case <-signs\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationIsPassedOnAtOnce
 mutant zone-turns internal/relay/turns.go 's/turnsMost = 32/turnsMost = 1 << 20/' internal/relay TestTurnsOfHundreds
 mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.UrgeEach()/' internal/gossip TestEntryThatAppears
-mutant urgent-direct $spread 's/if !n\.byZone\(\) \{/if n.byZone() || true {/' internal/gossip TestUrgentMessagesAreBounded
-mutant urgent-fallback $spread 's/\t\tn\.UrgeEach\(\)\n\t\tif n\.again\(\) \{\n\t\t\tn\.Urge\(\)\n\t\t\}/\t\t_ = n.again/' internal/gossip TestNewsThatNoDelegatePassesOn
-mutant urgent-ahead internal/gossip/bundle.go 's/ \|\| n\.ahead\(p, m\.body\.Sent\)//' internal/gossip TestBundlesThatMoveNothing
-mutant urgent-life internal/gossip/bundle.go 's/ \|\| p\.life != m\.body\.Life \|\| m\.body\.Sent/ || m.body.Sent/' internal/gossip TestBundlesThatMoveNothing
-mutant silent-untold $spread 's/\tif n\.delegate \{\n\t\tn\.tellSilent\(now\)\n\t\}\n/\t_ = n.tellSilent\n/' internal/gossip TestSilentEntriesAreForgotten
-mutant silent-believed internal/gossip/silent.go 's/min\(time\.Duration\(silentFor\*float64\(every\)\), forget\)/min(0*every, forget)/' internal/gossip TestSilenceThatIsNotTrue
-mutant named-bounded $members 's/case !known && pending < mostNamed:/case !known:/' internal/gossip TestPeerThatClaims
+mutant urgent-direct $spread 's/if !n\.usesDelegates\(\) \{/if n.usesDelegates() || true {/' internal/gossip TestUrgentMessagesAreBounded
+mutant urgent-fallback $spread 's/\t\tn\.UrgeEach\(\)\n\t\tif n\.retryForward\(\) \{\n\t\t\tn\.Urge\(\)\n\t\t\}/\t\t_ = n.retryForward/' internal/gossip TestStateThatNoDelegateForwards
+mutant urgent-ahead internal/gossip/bundle.go 's/ \|\| n\.isFromFuture\(p, m\.body\.Sent\)//' internal/gossip TestInvalidForwardedStates
+mutant urgent-life internal/gossip/bundle.go 's/ \|\| p\.incarnation != m\.body\.Life \|\| m\.body\.Sent/ || m.body.Sent/' internal/gossip TestInvalidForwardedStates
+mutant silent-untold $spread 's/\tif n\.delegate \{\n\t\tn\.reportSilent\(now\)\n\t\}\n/\t_ = n.reportSilent\n/' internal/gossip TestSilentEntriesAreForgotten
+mutant silent-believed internal/gossip/silent.go 's/min\(time\.Duration\(reportedSilentIntervals\*float64\(every\)\), forget\)/min(0*every, forget)/' internal/gossip TestFalseSilenceReport
+mutant named-bounded $members 's/case !known && pending < maxUnverified:/case !known:/' internal/gossip TestPeerThatClaims
 mutant named-forgotten $members 's/\t\t\tdelete\(n\.peers, name\)\n/\t\t\t_ = name\n/' internal/gossip TestPeerThatClaims
 
 mutant answer-leaving $gateway/notice.go 's/if n\.Leaving && g\.fleet\.AnsweredLeaving\(from\.ID\)/if false \&\& g.fleet.AnsweredLeaving(from.ID)/' internal/gateway TestUpstreamThatSaidItLeaves
