--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -7,13 +7,13 @@
 . scripts/mutant.sh
 
 calls=internal/sidecar/calls.go
-mutant call-record internal/sidecar/callbook.go 's/if !ok \{\n\t\tc = &call\{state: callStarted/if !ok || ok {\n\t\tc = &call{state: callStarted/' internal/sidecar TestOfTwoCopies
-mutant call-age $calls 's/case issued\.Before\(safeFrom\.Add\(s\.settings\.Skew\)\):/case false:/' internal/sidecar TestWhetherAnIncarnation
+mutant call-record internal/sidecar/callbook.go 's/if !ok \{\n\t\tc = &call\{state: callStarted/if !ok || ok {\n\t\tc = &call{state: callStarted/' internal/sidecar TestSecondCopyOfACall
+mutant call-age $calls 's/case issued\.Before\(exclusiveSince\.Add\(s\.settings\.Skew\)\):/case false:/' internal/sidecar TestIncarnationRunsOnlyKeys
 mutant call-lease $calls 's/if !s\.lease\.Valid\(\) \{\n\t\treturn unknown/if false {\n\t\treturn unknown/' internal/sidecar TestSettleWithoutLease
 mutant call-last-look $calls 's/if !id\.Ticket\(\) && !s\.lease\.Valid\(\)/if false/' internal/sidecar TestDeadlineAndLease
 mutant call-deadline $calls 's/if p\.StartBy > 0 && s\.now/if false && s.now/' internal/sidecar TestDeadlineAndLease
-mutant call-ticket-bound $calls 's/ \|\| id\.Incarnation\(\) != s\.identity\.Incarnation\(\)//' internal/sidecar TestWhetherAnIncarnation
-mutant settle-tombstone internal/sidecar/callbook.go 's/c = &call\{state: callTombstone, forget[^\n]*\n\t\tb\.calls\[id\] = c/c = &call{state: callTombstone}/' internal/sidecar TestSettleBars
+mutant call-ticket-bound $calls 's/ \|\| id\.Incarnation\(\) != s\.identity\.Incarnation\(\)//' internal/sidecar TestIncarnationRunsOnlyKeys
+mutant settle-tombstone internal/sidecar/callbook.go 's/c = &call\{state: callTombstone, expiresAt[^\n]*\n\t\tr\.calls\[id\] = c/c = &call{state: callTombstone}/' internal/sidecar TestSettleBars
 mutant stream-generation internal/sidecar/client.go 's/ \|\| n\.Generation != s\.generation//' internal/sidecar TestDeliveryOver
 mutant stream-offset internal/sidecar/client.go 's/ \|\| n\.First != expected/ || expected < 0/' internal/sidecar TestDeliveryOver
 
@@ -25,7 +25,7 @@
 mutant rollout-base internal/rollout/coordinator.go "s/if h\.Version != ch\.Base \{/if false {/" internal/rollout TestChangeFromAnOlder
 mutant rollout-settle internal/rollout/coordinator.go "s/if out, done := c\.settleCommit\(ctx, next\); !done \{\n\t\t\treturn out\n\t\t\}/return refused(next.Version, \"lost\")/" internal/rollout "TestLostReply"
 mutant rollout-confirm internal/rollout/coordinator.go "s/if len\(missing\) > 0 \{\n\t\treturn Outcome\{state: Committed/if len(missing) > 99 {\n\t\treturn Outcome{state: Committed/" internal/rollout TestZoneCutBetween
-mutant sidecar-behind internal/sidecar/server.go "s/if v <= s\.active\(\)\.Version\(\) \{/if v > -1 {/" internal/sidecar TestOlderConfiguration
+mutant sidecar-behind internal/sidecar/server.go "s/if v <= s\.active\(\)\.Version\(\) \{/if v > -1 {/" internal/sidecar TestRequestOfANewerConfigurationIsNotServed
 
 gateway=internal/gateway
 placement=internal/placement
@@ -68,15 +68,15 @@
 mutant placement-reserve $placement/reserve.go 's/leavingShare\*shareOf/leavingShare + 0*shareOf/' internal/placement TestReserve
 mutant placement-moved-in-time $placement/reserve.go 's/usable = min\(usable, e\.CopyRate/usable = min(usable, 1e9*e.CopyRate/' internal/placement TestUsable
 mutant wire-no-rank platform/caller.go 's/(\tif a\.From != nil \{)/\th.Set(headerPriority, "2")\n$1/' platform TestForwardAttempt
-mutant fleet-failing internal/fleet/failing.go 's/failingOver = 3/failingOver = 0/' internal/fleet TestFailing
+mutant fleet-failing internal/fleet/failing.go 's/failingFactor = 3/failingFactor = 0/' internal/fleet TestFailing
 mutant relay-hold internal/relay/store.go 's/return min\(max\(left, holdLeast\), s\.settings\.Wait\)/_ = left\n\treturn s.settings.Wait/' internal/relay TestQuestionIsHeld
 mutant retries-together internal/routing/window.go 's/\(recent\+1\)\*float64\(sharers\) > available\+recent/recent+1 > available+recent+0*float64(sharers)/' internal/routing TestConcurrentEntries
 mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), privateFraction\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
 mutant link-pairs internal/link/link.go 's/if p\.otherRequest\(c, req, resp\) \{/if false {/' internal/link TestAnswerToTheRequestBefore
 mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && quiet\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionsAreKept'
-mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfAnEarlierLife
+mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfEarlierIncarnation
 mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestWhenTheDelegate
-mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.firstHand && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
+mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.selfReported && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
 mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRouteTableVersionNeverDecreases
 
 mutant placement-old-news $placement/spread.go 's/unreportedFactor \* z\.rate/0 * z.rate/' $gateway TestStaleLoads
@@ -85,10 +85,10 @@
 mutant relay-second-delegate internal/relay/store.go 's/for range maxAsked \{\n\t\tvar p Peer/for range 1 {\n\t\tvar p Peer/' internal/relay TestAnotherDelegate
 mutant relay-told-anew internal/relay/log.go 's/t\.told, t\.whole = answer\{\}, answer\{\}/t.whole = answer{}/' internal/relay TestAnswersAreEncodedOnce
 mutant follower-pause internal/belief/follower.go 's/f\.settings\.Wait - f\.now\(\)\.Sub\(f\.confirmed\)/f.settings.Wait/' internal/belief TestPauseAfterAChange
-mutant fleet-closed internal/fleet/unreadable.go 's/ && !s\.closed\[m\.Zone\]//' internal/fleet TestClosedZone
-mutant fleet-closed-draw internal/fleet/set.go 's/m\.state == Serving && s\.mayWork\(m\)/m.state == Serving/' internal/fleet TestClosedZone
-mutant fleet-closed-lapsed internal/fleet/set.go 's/m\.state == Lapsed && s\.mayWork\(m\)/m.state == Lapsed/' internal/fleet TestClosedZone
-mutant fleet-held-work internal/fleet/unreadable.go 's/!m\.unreadable && !s\.closed/!s.closed/' internal/fleet TestUnreadable
+mutant fleet-closed internal/fleet/unreadable.go 's/ && !s\.closedZones\[m\.Zone\]//' internal/fleet TestClosedZone
+mutant fleet-closed-draw internal/fleet/set.go 's/m\.state == Serving && s\.acceptsWork\(m\)/m.state == Serving/' internal/fleet TestClosedZone
+mutant fleet-closed-lapsed internal/fleet/set.go 's/m\.state == Lapsed && s\.acceptsWork\(m\)/m.state == Lapsed/' internal/fleet TestClosedZone
+mutant fleet-held-work internal/fleet/unreadable.go 's/!m\.unreadable && !s\.closedZones/!s.closedZones/' internal/fleet TestUnreadable
 mutant fleet-held-there internal/fleet/unreadable.go 's/\t\tseen\[name\] = true\n//' internal/fleet TestUnreadable
 mutant fleet-held-lapse internal/fleet/unreadable.go 's/if m\.state == Lapsed \{/if false {/' internal/fleet TestUnreadable
 mutant fleet-held-list internal/fleet/unreadable.go 's/m\.unreadable = true\n\t\t\ts\.serving = nil/m.unreadable = true/' internal/fleet TestUnreadable
@@ -139,15 +139,15 @@
 mutant directory-owed internal/directory/directory.go 's/owed = err != nil/_ = err/' internal/directory TestRefusedRenewal
 
 starts=internal/fleet/starts.go
-mutant start-own-id $starts 's/case born != 0:/case false:/' internal/fleet TestStartUnderAnEarlierName
-mutant start-id-unique $starts 's/return name \+ startMark\n/return name\n/' internal/fleet TestStartIdentifiers
-mutant start-ended $starts 's/\ts\.forget\(m\)\n\ts\.rec/\ts.rec/' internal/fleet 'TestNewsOfAnEarlierStart|TestStartUnderAnEarlierName'
-mutant start-old-news $starts 's/if !holds && older\(r, m\.Record\) \{/if !holds \&\& false {/' internal/fleet TestNewsOfAnEarlierStart
-mutant start-version-first $starts 's/r\.Version == 0 \|\| than\.Version == 0 \|\| r\.Version == than\.Version/true/' internal/fleet TestNewsOfAnEarlierStart
-mutant start-birth-unversioned $starts 's/return r\.Born < than\.Born/return false/' internal/fleet TestNewsOfAnEarlierStart
-mutant start-no-birth $starts 's/known && r\.Born == 0/false/' internal/fleet TestRecordWithoutABirth
-mutant start-old-removal internal/fleet/set.go 's/g\.Version != 0 && g\.Version < m\.Version/false/' internal/fleet TestNewsOfAnEarlierStart
-mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[startID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.present[name].ID] {/' internal/fleet TestNewsOfAnEarlierStart
+mutant start-own-id $starts 's/case born != 0:/case false:/' internal/fleet TestRestartUnderTheSameName
+mutant start-id-unique $starts 's/return name \+ startSeparator\n/return name\n/' internal/fleet TestStartIdentifiers
+mutant start-ended $starts 's/\ts\.remove\(m\)\n\ts\.rec/\ts.rec/' internal/fleet 'TestLateInformationAboutAnEarlierStart|TestRestartUnderTheSameName'
+mutant start-old-news $starts 's/if !overrides && isOlder\(r, m\.Record\) \{/if !overrides \&\& false {/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-version-first $starts 's/r\.Version == 0 \|\| other\.Version == 0 \|\| r\.Version == other\.Version/true/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-birth-unversioned $starts 's/return r\.Born < other\.Born/return false/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-no-birth $starts 's/known && r\.Born == 0/false/' internal/fleet TestRecordWithoutAStartTime
+mutant start-old-removal internal/fleet/set.go 's/g\.Version != 0 && g\.Version < m\.Version/false/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[startID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.byName[name].ID] {/' internal/fleet TestLateInformationAboutAnEarlierStart
 mutant start-version-kept internal/daemon/upstreamrows.go 's/\t\tr\.Version = row\.Version\n//' internal/daemon TestUpstreamChangesKeep
 mutant start-removal-version internal/daemon/upstreamrows.go 's/, Version: row\.Version\}\)/})/' internal/daemon TestUpstreamChangesKeep
 mutant start-report $gateway/inquire.go 's/ && state\.Born != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
@@ -186,7 +186,7 @@
 mutant held-runs-told $held/word.go 's/u\.setRunKind\(start, w\.kind\(start\)\)/u.setRunKind(start, unknownRun)/' $held TestTrialsAreGossiped
 mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsAreIsolated
 mutant held-entry-apart internal/entry/crashing.go 's/case isolation != quarantine\.Apart:/case true:/' internal/entry TestIsolate
-mutant held-entry-down internal/sidecar/starts.go 's/crossed := !s\.down \|\| !s\.downAt\.Before\(sentAt\)/crossed := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
+mutant held-entry-down internal/sidecar/starts.go 's/sentWhileUp := !u\.down \|\| !u\.downAt\.Before\(sentAt\)/sentWhileUp := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
 mutant held-void-told $held/word.go 's/\t\t\tw\.Void = append\(w\.Void, start\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
 mutant held-told-anew $held/word.go 's/\tif len\(u\.activeCrashes\(\)\) >= gossipByAllThreshold \{\n\t\treturn true\n\t\}\n//' $held TestNewEntryLearnsFromGossip
 mutant held-bounded $held/set.go 's/\t\ts\.evictIfFull\(\)\n//' $held TestSuspectsAreBounded
@@ -210,9 +210,9 @@
 mutant held-renewed internal/directory/directory.go 's/\t\t\towed = true\n//' internal/directory TestCarriedOver
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
-mutant held-sidecar-starts internal/sidecar/starts.go 's/s\.n, s\.down = s\.n\+1, false/s.down = false/' internal/sidecar TestStartsOfTheUpstream
+mutant held-sidecar-starts internal/sidecar/starts.go 's/u\.restarts, u\.down = u\.restarts\+1, false/u.down = false/' internal/sidecar TestUpstreamIncarnations
 mutant held-entry-generation internal/entry/completions.go 's/\t\te\.lost\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
-mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.starts\.endedUnder\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
+mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.incarnations\.endedDuring\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(start\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 
@@ -229,33 +229,33 @@
 # Faults of this program over what was read.
 mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestTableThatEndsNoReader
 mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
-mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.read\(b, addr\) \}\); err/if err := n.read(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestMessageThatEndsNoReader
+mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.handle\(b, addr\) \}\); err/if err := n.handle(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestPanicDoesNotStopReceiver
 mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
-mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestGenerationThatEndsNoSidecar
+mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestPanicInAGeneration
 
 mutant first-reads internal/directory/directory.go 's/firstMost  = 2 \* time\.Second/firstMost  = time.Hour/; s/firstLeast = 100 \* time\.Millisecond/firstLeast = time.Hour/' internal/directory TestFirstReadsThatFail
 mutant first-row internal/directory/begin.go 's/\t\t\td\.again\(ctx, d\.renew\)\n\t\t\td\.again\(ctx, d\.read\)\n//' internal/directory TestFirstReadsThatFail
 
 # What limited upstreams take.
 limits=internal/limits
-mutant limits-part $limits/grant.go 's/if 2\*heard > s\.listed \{/if true {/' $limits TestBothSidesOfACut
-mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestGrantingBegins
-mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(word\.Start, l\) != s\.name:/case s.granterOf(word.Start, l) == "":/' $limits TestAnswers
-mutant limits-asked-twice $limits/grant.go 's/if !again \{/if _ = again; true {/' $limits TestAnswers
-mutant limits-leaves $limits/grant.go 's/s\.leaves && i == 0 \|\| /i < 0 || /' $limits TestGranterStops
-mutant limits-least $limits/grant.go 's/max\(l\.rate\*s\.part\(\), leastRate\)/l.rate * s.part()/' $limits TestWhatIsGranted
-mutant limits-not-listed $limits/grant.go 's/\tif s\.listed == 0 \{\n\t\treturn 0\n\t\}\n//' $limits TestWhatIsGranted
+mutant limits-part $limits/grant.go 's/if 2\*heard > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
+mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
+mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(observed\.Start, l\) != s\.name:/case s.granterOf(observed.Start, l) == "":/' $limits TestAnswers
+mutant limits-asked-twice $limits/grant.go 's/if !repeated \{/if _ = repeated; true {/' $limits TestAnswers
+mutant limits-leaves $limits/grant.go 's/s\.stopping && i == 0 \|\| /i < 0 || /' $limits TestStoppingGranterHandsOver
+mutant limits-least $limits/grant.go 's/max\(l\.rate\*s\.share\(\), minGrantRate\)/l.rate * s.share()/' $limits TestGrantedRate
+mutant limits-not-listed $limits/grant.go 's/\tif s\.entryCount == 0 \{\n\t\treturn 0\n\t\}\n//' $limits TestGrantedRate
 mutant limits-order $limits/grant.go 's/return mix\(h\.Sum64\(\)\)/return h.Sum64()/' $limits TestGrantersAreSpread
 mutant limits-closed $limits/permit.go 's/if now\.Before\(l\.closedUntil\) \{/if now.IsZero() {/' $limits TestNoAnswer
-mutant limits-late-head $limits/limits.go 's/s\.over\(start, asked, ownAnswer\)/s.over(start, s.now(), ownAnswer)/' $limits TestLimitInForce
-mutant limits-most $limits/limits.go 's/full := len\(s\.limits\) >= mostLimits/full := false/' $limits TestLimitsAreBounded
-mutant limits-old-word $limits/message.go 's/out\.Over = ago\(sent/out.Over = ago(now/' $limits TestWords
-mutant limits-settled $limits/peers.go 's/ \|\| !p\.knows \|\| p\.asks//' $limits TestEntryThatStartsAnewAgreesWhoGrants
-mutant limits-asks $limits/peers.go 's/ \|\| p\.asks//' internal/gossip TestWhoIsToldOfLimits
-mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestWhoMayGrant
-mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= silence//; s/silence, now := n\.silence\(\), n\.now\(\)/_ = n.silence()/' internal/gossip TestHeard
-mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestWhoMayGrant
-mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestWhenLimitsWereTold
+mutant limits-late-head $limits/limits.go 's/s\.noteNoLimit\(start, sent, ownAnswer\)/s.noteNoLimit(start, s.now(), ownAnswer)/' $limits TestLimitInForce
+mutant limits-most $limits/limits.go 's/full := len\(s\.limits\) >= maxLimits/full := false/' $limits TestLimitsAreBounded
+mutant limits-old-word $limits/message.go 's/out\.NoLimitAt = timeAtAge\(sent/out.NoLimitAt = timeAtAge(now/' $limits TestDecodeObservation
+mutant limits-settled $limits/peers.go 's/ \|\| !p\.acknowledged \|\| p\.wantsAck//' $limits TestRestartedEntryAgreesOnTheGranter
+mutant limits-asks $limits/peers.go 's/ \|\| p\.wantsAck//' internal/gossip TestReceiversOfLimitMessages
+mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestGranterCandidates
+mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestHeard
+mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestGranterCandidates
+mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestSentNotBefore
 mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestRateLimitOfUpstreamIsObeyed
 mutant limits-copy $gateway/continue.go 's/if err := s\.g\.await\(ctx, held\.at\.ID, s\.g\.now\(\)\.Add\(goOnWithin\)\); err != nil/if err := ctx.Err(); err != nil/' $gateway TestMovedGenerationNeedsAPermit
 mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.unlimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPreferUnlimitedEngines
@@ -265,10 +265,10 @@
 mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationWaitsForAPermit
 mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitInHeaders
 mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestRetryTimeOfUpstreamIsObeyed
-mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.take\(ctx\); !ok \{/if opensAt, ok := s.takes.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsWhatItTakes
-mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.await\(ctx, s\.permitBy\(p\)\); !ok \{/if opensAt, ok := s.permitBy(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
-mutant limits-sidecar-queued internal/sidecar/server.go 's/if opensAt, ok := s\.takes\.take\(context\.Background\(\)\); !ok \{/if opensAt, ok := s.takes.opensAt(), true; !ok {/' internal/sidecar TestQueuedGenerationNeedsAPermit
-mutant limits-sidecar-start internal/sidecar/limit.go 's/t\.set\.Take\(ctx, t\.starts\.current\(\)\)/t.set.Take(ctx, t.starts.incarnation+"#0")/' internal/sidecar TestLimitEndsWithItsStart
+mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.takePermit\(ctx\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsNoMoreCallsThanItsRateLimit
+mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.awaitPermit\(ctx, s\.permitDeadline\(p\)\); !ok \{/if opensAt, ok := s.permitDeadline(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
+mutant limits-sidecar-queued internal/sidecar/server.go 's/if opensAt, ok := s\.limiter\.takePermit\(context\.Background\(\)\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestQueuedGenerationNeedsAPermit
+mutant limits-sidecar-start internal/sidecar/limit.go 's/l\.set\.Take\(ctx, l\.incarnations\.current\(\)\)/l.set.Take(ctx, l.incarnations.sidecarIncarnation+"#0")/' internal/sidecar TestRateLimitEndsWithItsIncarnation
 
 spread=internal/gossip/spread.go
 members=internal/gossip/members.go
@@ -283,29 +283,29 @@
 mutant zone-confirmed internal/relay/server.go 's/case <-signs\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationIsPassedOnAtOnce
 mutant zone-turns internal/relay/turns.go 's/turnsMost = 32/turnsMost = 1 << 20/' internal/relay TestTurnsOfHundreds
 mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.UrgeEach()/' internal/gossip TestEntryThatAppears
-mutant urgent-direct $spread 's/if !n\.byZone\(\) \{/if n.byZone() || true {/' internal/gossip TestUrgentMessagesAreBounded
-mutant urgent-fallback $spread 's/\t\tn\.UrgeEach\(\)\n\t\tif n\.again\(\) \{\n\t\t\tn\.Urge\(\)\n\t\t\}/\t\t_ = n.again/' internal/gossip TestNewsThatNoDelegatePassesOn
-mutant urgent-ahead internal/gossip/bundle.go 's/ \|\| n\.ahead\(p, m\.body\.Sent\)//' internal/gossip TestBundlesThatMoveNothing
-mutant urgent-life internal/gossip/bundle.go 's/ \|\| p\.life != m\.body\.Life \|\| m\.body\.Sent/ || m.body.Sent/' internal/gossip TestBundlesThatMoveNothing
-mutant silent-untold $spread 's/\tif n\.delegate \{\n\t\tn\.tellSilent\(now\)\n\t\}\n/\t_ = n.tellSilent\n/' internal/gossip TestSilentEntriesAreForgotten
-mutant silent-believed internal/gossip/silent.go 's/min\(time\.Duration\(silentFor\*float64\(every\)\), forget\)/min(0*every, forget)/' internal/gossip TestSilenceThatIsNotTrue
-mutant named-bounded $members 's/case !known && pending < mostNamed:/case !known:/' internal/gossip TestPeerThatClaims
+mutant urgent-direct $spread 's/if !n\.usesDelegates\(\) \{/if n.usesDelegates() || true {/' internal/gossip TestUrgentMessagesAreBounded
+mutant urgent-fallback $spread 's/\t\tn\.UrgeEach\(\)\n\t\tif n\.retryForward\(\) \{\n\t\t\tn\.Urge\(\)\n\t\t\}/\t\t_ = n.retryForward/' internal/gossip TestStateThatNoDelegateForwards
+mutant urgent-ahead internal/gossip/bundle.go 's/ \|\| n\.isFromFuture\(p, m\.body\.Sent\)//' internal/gossip TestInvalidForwardedStates
+mutant urgent-life internal/gossip/bundle.go 's/ \|\| p\.incarnation != m\.body\.Life \|\| m\.body\.Sent/ || m.body.Sent/' internal/gossip TestInvalidForwardedStates
+mutant silent-untold $spread 's/\tif n\.delegate \{\n\t\tn\.reportSilent\(now\)\n\t\}\n/\t_ = n.reportSilent\n/' internal/gossip TestSilentEntriesAreForgotten
+mutant silent-believed internal/gossip/silent.go 's/min\(time\.Duration\(reportedSilentIntervals\*float64\(every\)\), forget\)/min(0*every, forget)/' internal/gossip TestFalseSilenceReport
+mutant named-bounded $members 's/case !known && pending < maxUnverified:/case !known:/' internal/gossip TestPeerThatClaims
 mutant named-forgotten $members 's/\t\t\tdelete\(n\.peers, name\)\n/\t\t\t_ = name\n/' internal/gossip TestPeerThatClaims
 
 mutant answer-leaving $gateway/notice.go 's/if n\.Leaving && g\.fleet\.AnsweredLeaving\(from\.ID\)/if false \&\& g.fleet.AnsweredLeaving(from.ID)/' internal/gateway TestUpstreamThatAnnouncesLeaving
 mutant answer-rest $gateway/notice.go 's/if !n\.BackOffUntil\.IsZero\(\)/if false/' internal/gateway TestUpstreamInBackOffGetsNoRequests
 mutant rest-candidate $gateway/choose.go 's/ && !u\.InBackOff\(now\) \{/ {/' internal/gateway TestAllUpstreamsInBackOff
 mutant rest-at-once $gateway/permit.go 's/if err != nil && g\.allInBackOff\(service, exclude\)/if false/' internal/gateway TestAllUpstreamsInBackOff
-mutant rest-latest internal/fleet/backoff.go 's/m\.backOff = later\(m\.backOff, (.*)\)\n/m.backOff = $1\n/' internal/fleet TestLatestRestHolds
-mutant rest-one internal/fleet/backoff.go 's/m\.InBackOff\(s\.now\(\)\) && m\.backOffUsed/false/' internal/fleet TestOneRequestDuringARest
+mutant rest-latest internal/fleet/backoff.go 's/m\.backOffUntil = later\(m\.backOffUntil, (.*)\)\n/m.backOffUntil = $1\n/' internal/fleet TestLatestBackOffApplies
+mutant rest-one internal/fleet/backoff.go 's/m\.InBackOff\(s\.now\(\)\) && m\.backOffProbed/false/' internal/fleet TestOneProbePerBackOff
 mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(ReturnEach\)\n//' internal/placement TestCallersRetryInOrder
-mutant leaving-peer internal/fleet/set.go 's/s\.mark\(id, entry, true\)/s.mark(id, entry, false)/' internal/fleet TestUpstreamThatSaidItLeavesNever
-mutant leaving-lapsed internal/fleet/set.go 's/if m\.state == Lapsed \{\n\t\t\/\/ Its/if false {\n\t\t\/\/ Its/; s/\tm\.until = time\.Time\{\}\n\ts\.release/\ts.release/' internal/fleet TestUpstreamThatSaidItLeavesNever
-mutant leaving-told internal/fleet/set.go 's/if lately \|\| !m\.Leaving && unwritten <= mostUnwritten/if lately/' internal/fleet TestLeaveThatNoRecord
+mutant leaving-peer internal/fleet/set.go 's/s\.markLeaving\(id, entry, true\)/s.markLeaving(id, entry, false)/' internal/fleet TestSelfReportedLeaveIsFinal
+mutant leaving-lapsed internal/fleet/set.go 's/if m\.state == Lapsed \{\n\t\t\/\/ The row/if false {\n\t\t\/\/ The row/; s/\tm\.expiresAt = time\.Time\{\}\n\ts\.release/\ts.release/' internal/fleet TestSelfReportedLeaveIsFinal
+mutant leaving-told internal/fleet/set.go 's/if recent \|\| !m\.Leaving && unrecorded <= maxUnrecorded/if recent/' internal/fleet TestUnrecordedLeaveStays
 mutant leaving-421 platform/caller.go 's/if status == http\.StatusMisdirectedRequest \{\n\t\treturn n/if false {\n\t\treturn n/' platform TestNotice
-mutant sidecar-rest internal/sidecar/notice.go 's/if until\.After\(n\.backOff\)/if false/' internal/sidecar TestServiceThatAskedForRest
-mutant sidecar-leaving internal/sidecar/notice.go 's/\t\tn\.leavesUntil = now\.Add\(leavesFor\)\n//' internal/sidecar TestServiceThatSaidItLeaves
-mutant sidecar-start internal/sidecar/notice.go 's/if n\.start != start \{/if false {/' internal/sidecar TestRestOfAServiceEnds
+mutant sidecar-rest internal/sidecar/notice.go 's/if backoffUntil\.After\(n\.backoffUntil\)/if false/' internal/sidecar TestServiceInBackoff
+mutant sidecar-leaving internal/sidecar/notice.go 's/\t\tn\.leavingUntil = now\.Add\(leavingTTL\)\n//' internal/sidecar TestLeavingService
+mutant sidecar-start internal/sidecar/notice.go 's/if n\.incarnation != incarnation \{/if false {/' internal/sidecar TestBackoffEndsWithItsIncarnation
 
 mutant epoch-changes internal/belief/follower.go 's/case s\.Epoch > f\.epoch && !full:/case false:/' internal/belief TestOnlyReadEpochsConfirm
 mutant epoch-version internal/belief/follower.go 's/f\.epoch, f\.version = s\.Epoch, s\.Version/f.epoch, f.version = s.Epoch, max(f.version, s.Version)/' internal/belief TestFollowerOfAStoreThatIsRestored
@@ -315,14 +315,14 @@
 mutant epoch-log internal/relay/log.go 's/\tif known \{\n\t\tt\.rows/\tif known \&\& false {\n\t\tt.rows/' internal/relay TestEpochsBesideAnEarlierRelease
 mutant epoch-asker internal/relay/log.go 's/case !t\.comparable\(epoch\):/case false \&\& !t.comparable(epoch):/' internal/relay TestEpochsBesideAnEarlierRelease
 mutant epoch-unstated internal/relay/log.go 's/case epoch == 0 && t\.returned:/case false:/' internal/relay TestEpochsBesideAnEarlierRelease
-mutant restored-gone internal/fleet/set.go 's/stale := s\.restored && m\.state == Leaving/stale := false/' internal/fleet TestFleetAfterTheStoreWasRestored
-mutant restored-version internal/fleet/restored.go 's/m\.Version, m\.unwritten = 0, true/m.unwritten = m.unwritten || false/' internal/fleet TestFleetAfterTheStoreWasRestored
-mutant restored-next internal/fleet/starts.go 's/holds := m\.unwritten && !s\.restored/holds := false/' internal/fleet TestFleetAfterTheStoreWasRestored
+mutant restored-gone internal/fleet/set.go 's/stale := s\.restoring && m\.state == Leaving/stale := false/' internal/fleet TestFleetAfterTheStoreWasRestored
+mutant restored-version internal/fleet/restored.go 's/m\.Version, m\.predatesRestore = 0, true/m.predatesRestore = m.predatesRestore || false/' internal/fleet TestFleetAfterTheStoreWasRestored
+mutant restored-next internal/fleet/starts.go 's/overrides := m\.predatesRestore && !s\.restoring/overrides := false/' internal/fleet TestFleetAfterTheStoreWasRestored
 mutant restored-zones internal/belief/zones.go 's/if !full \|\| s\.Restored/if !full/' internal/belief TestOperatorsRows
 mutant restored-routes internal/belief/routes.go 's/table\.Version\(\) < r\.table\.Version\(\) \{/false {/' internal/belief TestOperatorsRows
 mutant behind-kept internal/belief/routes.go 's/r\.olderRow, r\.older = rec\.Version, true/r.olderRow = rec.Version/' internal/belief TestEntryThatStartsAfterAReturn
 
-mutant leaving-unread internal/fleet/starts.go 's/\t\tm\.avoid = s\.now\(\)\.Add\(recordWithin\)\n//' internal/fleet TestLeaveSaidBefore
+mutant leaving-unread internal/fleet/starts.go 's/\t\tm\.avoidUntil = s\.now\(\)\.Add\(leavingRecordDelay\)\n//' internal/fleet TestLeaveReportedBefore
 mutant head-ahead $store 's/own\.Version > h\.Version \|\| //' internal/rollout TestProcessesDisagreed
 mutant head-accepted $store 's/ \|\| own\.Change == h\.Change && own\.Accepted && !h\.Accepted//' internal/rollout TestMarkOfTheHead
 mutant head-version $store 's/p\.Version != 0 && p\.Version <= inForce/false/' internal/rollout TestRestoreBeside
