--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,29 +18,29 @@
 // attempt sends the generation to an engine and relays the engine's answer to the caller.
 func (s *stream) attempt(ctx context.Context, st step) outcome {
 	g, rq := s.g, s.rq
-	a := rq.attempt(st.at)
+	a := rq.attemptFor(st.at)
 	a.From = st.from
-	if st.from != nil || s.began {
+	if st.from != nil || s.headSent {
 		a.LastEvent = s.lastEvent
 	}
 	req := g.proto.Forward(&rq.call, a, g.now())
 	req.Body = rq.body
-	rq.tries++
-	s.noteAttempt(st)
+	rq.attempts++
+	s.logAttempt(st)
 	s.enter(st)
 	defer s.leave()
 	rq.run.SentTo(st.at.ID)
 	sentAt := g.now()
-	toRead := s.toRead
+	unreadTokens := s.unreadTokens
 	var started atomic.Bool
-	startTimer := time.AfterFunc(startWithin(rq.route), func() { g.startsLate(rq, st.at, toRead, &started) })
+	startTimer := time.AfterFunc(startTimeout(rq.route), func() { g.checkLateStart(rq, st.at, unreadTokens, &started) })
 	defer startTimer.Stop()
 	answer, err := g.exchange(ctx, st.at, req)
 	if err != nil {
-		return s.noAnswer(ctx, st, err)
+		return s.handleNoAnswer(ctx, st, err)
 	}
 	defer answer.Close()
-	g.heardLimit(rq, st.at, head{sent: sentAt, header: answer.Header, whole: answer.Status == http.StatusOK && g.proto.Complete(answer.Status, answer.Header)})
+	g.applyLimit(rq, st.at, head{sentAt: sentAt, header: answer.Header, complete: answer.Status == http.StatusOK && g.proto.Complete(answer.Status, answer.Header)})
 	if o, done := s.judge(ctx, st, answer); done {
 		return o
 	}
@@ -50,30 +50,30 @@
 	})
 }
 
-// startWithin returns the time within which a healthy engine starts a generation: the route's
-// objective, or defaultStart if there is none.
-func startWithin(route *routetable.Route) time.Duration {
+// startTimeout returns the time within which a healthy engine starts a generation: the route's
+// objective, or defaultStartTimeout if there is none.
+func startTimeout(route *routetable.Route) time.Duration {
 	if route.Objective > 0 {
 		return route.Objective
 	}
-	return defaultStart
+	return defaultStartTimeout
 }
 
 // crowdedMemory is the fraction of an engine's memory above which a late start is attributed to
 // memory: a queued generation waits until as much memory is free as its prompt takes.
 const crowdedMemory = 0.94
 
-// startsLate handles a generation that the engine has not started within startWithin. It marks
+// checkLateStart handles a generation that the engine has not started within startTimeout. It marks
 // the engine as faulty unless the delay is explained by the prompts that the engine had to read
 // first, by its memory use, or by its own report of waiting requests or of prompts being read.
-// Without the report, at one and a half times the load that the engines can carry, 41 late starts
-// behind such queues made all entries treat healthy engines as faulty. started is set once the
-// generation has started, which may happen while the engine is asked for its report.
-func (g *Gateway) startsLate(rq *request, at fleet.Upstream, toRead int, started *atomic.Bool) {
+// The report matters under overload: without it, at 1.5 times the load that the engines can
+// carry, 41 late starts behind such queues made all entries treat healthy engines as faulty. started
+// is set once the generation has started, which may happen while the engine is queried.
+func (g *Gateway) checkLateStart(rq *request, at fleet.Upstream, unreadTokens int, started *atomic.Bool) {
 	upstream := at.ID
-	load := g.ledger.total(upstream)
-	prefillTime := g.reading.expected(toRead)
-	queued := toRead > rq.call.Prompt && prefillTime > startWithin(rq.route)/2
+	load := g.loads.total(upstream)
+	prefillTime := g.readTime.expected(unreadTokens)
+	queued := unreadTokens > rq.call.Prompt && prefillTime > startTimeout(rq.route)/2
 	memory := rq.service.Engine.MemoryTokens
 	full := memory > 0 && load.Held > int(crowdedMemory*float64(memory))
 	crowded := queued || full
@@ -81,27 +81,27 @@
 	if u, known := g.fleet.Get(upstream); crowded || known && u.InBackOff(g.now()) {
 		return
 	}
-	// Without a report, the late start alone decides.
-	state, err := g.ask(context.Background(), at, "a generation starts late")
+	// Without a report, the late start alone marks the engine as faulty.
+	state, err := g.query(context.Background(), at, "a generation starts late")
 	if !started.Load() && (err != nil || state.Waiting+state.Unbegun == 0) {
-		g.faulty(upstream)
+		g.markFaulty(upstream)
 	}
 }
 
-// faulty marks an engine as faulty and tells the other entries without delay.
-func (g *Gateway) faulty(upstream string) {
+// markFaulty marks an engine as faulty and tells the other entries without delay.
+func (g *Gateway) markFaulty(upstream string) {
 	g.fleet.Note(upstream, fleet.Faulty)
-	g.others.Urge()
+	g.peers.Urge()
 }
 
-// noteAttempt logs the choice of an engine and the data that it was based on.
-func (s *stream) noteAttempt(st step) {
+// logAttempt logs the choice of an engine and the data that it was based on.
+func (s *stream) logAttempt(st step) {
 	g, rq := s.g, s.rq
-	load := g.ledger.total(st.at.ID)
-	g.met.tried(st.why)
+	load := g.loads.total(st.at.ID)
+	g.met.attempted(st.why)
 	g.rec.Note(events.RequestRouted, rq.call.ID, "route", rq.route.Name, "account", rq.account, "fingerprint", rq.fingerprint, "upstream", st.at.ID, "why", st.why,
-		"prompt", rq.call.Prompt, "most-output", rq.call.MaxOutput, "hint", rq.call.Hint, "running", load.Running, "tokens", load.Tokens, "unread", load.Prefill, "news-delay", g.others.Delay(st.at.Zone, true), "limit", g.limits.Rate(st.at.ID),
-		"after-event", s.lastEvent, "routes", rq.table.Version(), "routes-age", rq.age)
+		"prompt", rq.call.Prompt, "most-output", rq.call.MaxOutput, "hint", rq.call.Hint, "running", load.Running, "tokens", load.Tokens, "unread", load.Prefill, "news-delay", g.peers.Delay(st.at.Zone, true), "limit", g.limits.Rate(st.at.ID),
+		"after-event", s.lastEvent, "routes", rq.table.Version(), "routes-age", rq.tableAge)
 }
 
 // judge evaluates the head of an answer. done is false if an event stream follows.
@@ -109,47 +109,47 @@
 	g, rq := s.g, s.rq
 	switch g.proto.Verdict(answer.Status, answer.Header) {
 	case protocol.NotRun:
-		g.busy(st.at.ID, answer.Header)
+		g.markBusy(st.at.ID, answer.Header)
 		g.rec.Note(events.RequestRetried, rq.call.ID, "upstream", st.at.ID, "status", answer.Status, "why", "the engine did not run the request")
-		return streamUnrun, true
+		return streamNotRun, true
 	case protocol.WrongUpstream:
 		g.fleet.MarkLeaving(st.at.ID, "another upstream has its address")
-		return streamUnrun, true
+		return streamNotRun, true
 	case protocol.Ran:
 	}
 	rq.sent = true
 	switch {
 	case answer.Status != http.StatusOK:
-		return s.failed(ctx, st, answer), true
+		return s.handleErrorAnswer(ctx, st, answer), true
 	case answer.Header.Get(g.proto.IDHeader) != rq.call.ID || !g.proto.Complete(answer.Status, answer.Header):
 		g.rec.Note(events.AnswerRejected, rq.call.ID, "upstream", st.at.ID, "status", answer.Status, "error", errOtherAnswer)
 		return streamBroken, true
 	}
-	return streamWhole, false
+	return streamComplete, false
 }
 
-// noAnswer handles an attempt that ended before the head of an answer arrived.
-func (s *stream) noAnswer(ctx context.Context, st step, err error) outcome {
+// handleNoAnswer handles an attempt that ended before the head of an answer arrived.
+func (s *stream) handleNoAnswer(ctx context.Context, st step, err error) outcome {
 	if ctx.Err() == nil {
 		s.g.fleet.Note(st.at.ID, fleet.Broken)
-		s.g.broke(s.rq, st.at, err)
+		s.g.recordBrokenAnswer(s.rq, st.at, err)
 	}
 	s.g.rec.Note(events.AnswerRejected, s.rq.call.ID, "upstream", st.at.ID, "error", err)
 	if errors.Is(err, link.ErrNotSent) {
-		return streamUnrun
+		return streamNotRun
 	}
 	s.rq.sent = true
 	return streamBroken
 }
 
-// failed handles an error response of the engine. Before the first event of an answer, the
-// response is passed on to the caller unless the generation is retried. Later the caller has
+// handleErrorAnswer handles an error response of the engine. Before the first event of an answer,
+// the response is passed on to the caller unless the generation is retried. Later the caller has
 // already received a success status, so the attempt counts as broken.
-func (s *stream) failed(ctx context.Context, st step, answer *link.Answer) outcome {
-	// A 504, which says that the time limit passed at the engine, is not a fault of the engine,
+func (s *stream) handleErrorAnswer(ctx context.Context, st step, answer *link.Answer) outcome {
+	// A 504, which means that the time limit passed at the engine, is not a fault of the engine,
 	// nor is a request to back off.
 	if answer.Status >= http.StatusInternalServerError && answer.Status != http.StatusGatewayTimeout && !s.g.asksBackOff(answer.Status, answer.Header) {
-		s.g.faulty(st.at.ID)
+		s.g.markFaulty(st.at.ID)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered+1))
 	if len(body) > maxBuffered {
@@ -158,10 +158,10 @@
 	if err == nil {
 		s.rq.run.Served()
 	}
-	retryable := s.rq.route.Repeats() && s.rq.tries < s.rq.route.MaxAttempts && answer.Status >= http.StatusInternalServerError
-	if s.began || err != nil || retryable && ctx.Err() == nil {
+	retryable := s.rq.route.Repeats() && s.rq.attempts < s.rq.route.MaxAttempts && answer.Status >= http.StatusInternalServerError
+	if s.headSent || err != nil || retryable && ctx.Err() == nil {
 		return streamBroken
 	}
-	s.g.passOn(s.rq, result{upstream: st.at.ID, status: answer.Status, header: answer.Header, body: body})
+	s.g.forwardAnswer(s.rq, result{upstream: st.at.ID, status: answer.Status, header: answer.Header, body: body})
 	return streamFailed
 }
--- a/internal/gateway/badrecord_test.go
+++ b/internal/gateway/badrecord_test.go
@@ -40,8 +40,8 @@
 			if got := <-result; got.err != nil || got.body != wholeStream() {
 				t.Errorf("%v, %q; want every event once", got.err, got.body)
 			}
-			if source.runs() != 1 || other.runs() != 1 || f.noted(events.StreamMoveStarted) {
-				t.Errorf("%d and %d runs, moved %v; want one each and no move", source.runs(), other.runs(), f.noted(events.StreamMoveStarted))
+			if source.runs() != 1 || other.runs() != 1 || f.recorded(events.StreamMoveStarted) {
+				t.Errorf("%d and %d runs, moved %v; want one each and no move", source.runs(), other.runs(), f.recorded(events.StreamMoveStarted))
 			}
 			f.leave(other.id)
 			if got := f.ask(pathStream); got.status == http.StatusOK {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -32,9 +32,9 @@
 // longer answer counts as broken.
 const maxBuffered = 8 << 20
 
-// lastLookWithin limits the wait for running attempts once the deadline has passed. They return
+// finalAnswerWait limits the wait for running attempts once the deadline has passed. They return
 // at once unless the process gets no CPU time.
-const lastLookWithin = 50 * time.Millisecond
+const finalAnswerWait = 50 * time.Millisecond
 
 // result is the outcome of one attempt of a plain call.
 type result struct {
@@ -49,8 +49,8 @@
 // usable reports whether there is an answer that can be passed on to the caller.
 func (r result) usable() bool { return r.status != 0 && r.err == nil && r.verdict == protocol.Ran }
 
-// good reports whether the answer is usable and another upstream could not give a better one.
-func (r result) good() bool {
+// final reports whether the answer is usable and another upstream could not give a better one.
+func (r result) final() bool {
 	return r.usable() && r.status < http.StatusInternalServerError
 }
 
@@ -70,17 +70,17 @@
 	best, ok := c.run(ctx)
 	switch {
 	case ok && best.usable():
-		g.passOn(rq, best)
+		g.forwardAnswer(rq, best)
 	case ok && best.err != nil:
 		g.giveUp(ctx, rq, "the upstream's answer did not come: "+best.err.Error())
 	case len(c.tried) == 0 && ctx.Err() != nil:
 		g.giveUp(ctx, rq, "no upstream took it in time")
 	case len(c.tried) == 0 && rq.run.Isolation() == quarantine.Apart:
-		g.refuse(rq, http.StatusServiceUnavailable, quarantine.ErrOnTrial.Error(), backTurn)
+		g.refuse(rq, http.StatusServiceUnavailable, quarantine.ErrOnTrial.Error(), suspectRetryDelay)
 	case len(c.tried) == 0 && c.limited != nil:
-		g.refuse(rq, http.StatusServiceUnavailable, c.limited.Error(), g.backAfterLimit(rq))
+		g.refuse(rq, http.StatusServiceUnavailable, c.limited.Error(), g.retryDelayAfterLimit(rq))
 	case len(c.tried) == 0:
-		g.refuse(rq, http.StatusServiceUnavailable, "no upstream", backNoUpstream)
+		g.refuse(rq, http.StatusServiceUnavailable, "no upstream", noUpstreamRetryDelay)
 	default:
 		g.giveUp(ctx, rq, "no upstream answered")
 	}
@@ -99,7 +99,7 @@
 	limited error
 }
 
-// run sends the request to upstreams until one gives a good answer or no further attempt is
+// run sends the request to upstreams until one gives a final answer or no further attempt is
 // allowed. It returns the best answer.
 func (c *callRun) run(ctx context.Context) (best result, ok bool) {
 	if !c.launch(ctx, "first") {
@@ -110,7 +110,7 @@
 	for {
 		select {
 		case r := <-c.results:
-			if c.take(r) {
+			if c.record(r) {
 				return r, true
 			}
 			if r.usable() && !c.g.asksBackOff(r.status, r.header) {
@@ -119,39 +119,39 @@
 			if !best.usable() {
 				best = r
 			}
-			if !c.again(ctx, r) && c.running == 0 {
-				c.blame(false)
+			if !c.retry(ctx, r) && c.running == 0 {
+				c.reportFailures(false)
 				return best, true
 			}
 		case <-hedge.C:
 			c.hedge(ctx)
 		case <-ctx.Done():
-			return c.atTheEnd(ctx, best), true
+			return c.answerAtDeadline(ctx, best), true
 		}
 	}
 }
 
-// take records the end of an attempt and reports whether its answer is good.
-func (c *callRun) take(r result) bool {
+// record records the end of an attempt and reports whether its answer is final.
+func (c *callRun) record(r result) bool {
 	c.running--
 	c.rq.sent = c.rq.sent || r.mayHaveRun()
-	if r.good() {
-		c.blame(true)
+	if r.final() {
+		c.reportFailures(true)
 	}
-	return r.good()
+	return r.final()
 }
 
-// atTheEnd returns the best answer at the deadline. In a process that got no CPU time for a
+// answerAtDeadline returns the best answer at the deadline. In a process that got no CPU time for a
 // while, an answer and the deadline become due at the same moment, and the answer is preferred.
 // An upstream's error is preferred too, since it tells the caller more than a timeout does.
-// Running attempts get lastLookWithin to return an answer that has already arrived.
-func (c *callRun) atTheEnd(ctx context.Context, best result) result {
-	timer := time.NewTimer(lastLookWithin)
+// Running attempts get finalAnswerWait to return an answer that has already arrived.
+func (c *callRun) answerAtDeadline(ctx context.Context, best result) result {
+	timer := time.NewTimer(finalAnswerWait)
 	defer timer.Stop()
 	for c.running > 0 {
 		select {
 		case r := <-c.results:
-			if c.take(r) {
+			if c.record(r) {
 				return r
 			}
 			if !best.usable() {
@@ -169,10 +169,10 @@
 	return result{err: ctx.Err()}
 }
 
-// blame reports to the fleet which upstreams failed the request. served says that another
+// reportFailures reports to the fleet which upstreams failed the request. served is set if another
 // upstream answered it. If several upstreams failed it and none served it, the request itself
 // counts as the cause: half of the failing calls to the users' services fail at every upstream.
-func (c *callRun) blame(served bool) {
+func (c *callRun) reportFailures(served bool) {
 	if len(c.failed) > 1 && !served {
 		return
 	}
@@ -181,12 +181,12 @@
 	}
 }
 
-// again starts another attempt after a failed one if that is allowed.
-func (c *callRun) again(ctx context.Context, r result) bool {
+// retry starts another attempt after a failed one if that is allowed.
+func (c *callRun) retry(ctx context.Context, r result) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if r.mayHaveRun() && (!c.rq.route.Repeats() || c.rq.tries >= c.rq.route.MaxAttempts || !c.rq.run.MayRepeat()) {
+	if r.mayHaveRun() && (!c.rq.route.Repeats() || c.rq.attempts >= c.rq.route.MaxAttempts || !c.rq.run.MayRepeat()) {
 		return false
 	}
 	if len(c.tried) >= maxSends || !c.g.budget(c.rq.service.Name).Repeat(0) {
@@ -197,7 +197,7 @@
 
 // hedge sends a slow request to a second upstream too.
 func (c *callRun) hedge(ctx context.Context) {
-	if !c.rq.route.Repeats() || c.rq.tries >= c.rq.route.MaxAttempts || c.running == 0 || c.rq.run.Suspected() {
+	if !c.rq.route.Repeats() || c.rq.attempts >= c.rq.route.MaxAttempts || c.running == 0 || c.rq.run.Suspected() {
 		return
 	}
 	if !c.g.budget(c.rq.service.Name).Repeat(hedgeReserve) {
@@ -226,16 +226,16 @@
 	c.rq.run.SentTo(u.ID)
 	c.tried[u.ID] = true
 	c.running++
-	c.rq.tries++
-	c.g.met.tried(reason)
-	load := c.g.ledger.total(u.ID)
+	c.rq.attempts++
+	c.g.met.attempted(reason)
+	load := c.g.loads.total(u.ID)
 	c.g.rec.Note(events.RequestRouted, c.rq.call.ID, "route", c.rq.route.Name, "account", c.rq.account, "fingerprint", c.rq.fingerprint, "upstream", u.ID, "why", reason,
-		"running", load.Running, "failure-rate", u.FailureRate(), "limit", c.g.limits.Rate(u.ID), "routes", c.rq.table.Version(), "routes-age", c.rq.age)
-	claim := c.g.ledger.take(u.ID, gossip.Load{Running: 1})
+		"running", load.Running, "failure-rate", u.FailureRate(), "limit", c.g.limits.Rate(u.ID), "routes", c.rq.table.Version(), "routes-age", c.rq.tableAge)
+	claim := c.g.loads.add(u.ID, gossip.Load{Running: 1})
 	go func() {
 		defer claim.release()
 		r := c.attempt(ctx, u)
-		c.g.noteCall(ctx, c.rq, u, r)
+		c.g.reportOutcome(ctx, c.rq, u, r)
 		c.results <- r
 	}()
 	return true
@@ -245,12 +245,12 @@
 // If other attempts are running, it does not wait for a permit, since that would delay their
 // answers.
 func (c *callRun) choose(ctx context.Context) (fleet.Upstream, error) {
-	service, exclude, until := c.rq.service.Name, c.g.isolated(c.rq, c.tried), c.rq.waitsUntil()
+	service, exclude, until := c.rq.service.Name, c.g.excludeForIsolation(c.rq, c.tried), c.rq.permitDeadline()
 	if c.running > 0 {
-		exclude, until = c.g.unlimited(exclude), time.Time{}
+		exclude, until = c.g.excludeLimited(exclude), time.Time{}
 	}
-	return c.g.permitted(ctx, service, exclude, until, func(exclude map[string]bool) (fleet.Upstream, error) {
-		u, ok := c.g.choosePlain(service, exclude)
+	return c.g.chooseWithPermit(ctx, service, exclude, until, func(exclude map[string]bool) (fleet.Upstream, error) {
+		u, ok := c.g.chooseUpstream(service, exclude)
 		if !ok {
 			return fleet.Upstream{}, placement.ErrNone
 		}
@@ -258,12 +258,12 @@
 	})
 }
 
-// attempt sends the request once. A panic fails only this attempt; unrecovered, it would end the
-// process and all requests in it.
+// attempt is tryCall, except that a panic fails only this attempt. Unrecovered, the panic would end
+// the process and all requests in it.
 func (c *callRun) attempt(ctx context.Context, u fleet.Upstream) (r result) {
 	defer func() {
 		if v := recover(); v != nil {
-			c.g.notePanic(c.rq, v)
+			c.g.logPanic(c.rq, v)
 			r = result{upstream: u.ID, err: errPanicked}
 		}
 	}()
@@ -273,7 +273,7 @@
 // tryCall sends the request once and reads the whole answer.
 func (g *Gateway) tryCall(ctx context.Context, rq *request, u fleet.Upstream) result {
 	sentAt := g.now()
-	req := g.proto.Forward(&rq.call, rq.attempt(u), sentAt)
+	req := g.proto.Forward(&rq.call, rq.attemptFor(u), sentAt)
 	req.Body = rq.body
 	a, err := g.exchange(ctx, u, req)
 	if err != nil {
@@ -289,12 +289,12 @@
 	case a.Header.Get(g.proto.IDHeader) != rq.call.ID:
 		r.err = errOtherAnswer
 	case r.verdict == protocol.Ran && !g.proto.Complete(a.Status, a.Header):
-		r.err = errNoProof
+		r.err = errMissingProof
 	}
 	if r.err != nil {
 		g.rec.Note(events.AnswerRejected, rq.call.ID, "upstream", u.ID, "status", a.Status, "error", r.err)
 	}
-	g.heardLimit(rq, u, head{sent: sentAt, header: a.Header, whole: r.good()})
+	g.applyLimit(rq, u, head{sentAt: sentAt, header: a.Header, complete: r.final()})
 	return r
 }
 
@@ -302,13 +302,13 @@
 var (
 	errAnswerTooLong = errors.New("answer is too long")
 	errOtherAnswer   = errors.New("answer names another request")
-	errNoProof       = errors.New("answer is not the upstream's own body")
+	errMissingProof  = errors.New("answer is not the upstream's own body")
 	errPanicked      = errors.New("a fault of this entry")
 )
 
-// noteCall reports the outcome of an attempt to the fleet. An attempt that this entry cancelled
-// says nothing about the upstream.
-func (g *Gateway) noteCall(ctx context.Context, rq *request, u fleet.Upstream, r result) {
+// reportOutcome reports the outcome of an attempt to the fleet. An attempt that this entry cancelled
+// does not count.
+func (g *Gateway) reportOutcome(ctx context.Context, rq *request, u fleet.Upstream, r result) {
 	if r.usable() {
 		rq.run.Served()
 	}
@@ -316,29 +316,30 @@
 	case r.err != nil && ctx.Err() != nil:
 	case r.err != nil:
 		g.fleet.Note(r.upstream, fleet.Broken)
-		g.broke(rq, u, r.err)
+		g.recordBrokenAnswer(rq, u, r.err)
 	case r.verdict == protocol.NotRun:
-		g.busy(r.upstream, r.header)
+		g.markBusy(r.upstream, r.header)
 	case r.verdict == protocol.WrongUpstream:
 		g.fleet.MarkLeaving(r.upstream, "another upstream has its address")
 	case r.status >= http.StatusInternalServerError:
-		// callRun.blame reports it once it is known whether another upstream does better.
+		// callRun.reportFailures reports the error once it is known whether another upstream serves
+		// the request.
 	default:
 		g.fleet.Note(r.upstream, fleet.Served)
 	}
 }
 
-// busy records that an upstream refused a request without running it, and until when the upstream
-// asked for no further requests.
-func (g *Gateway) busy(upstream string, header http.Header) {
+// markBusy records that an upstream refused a request without running it, and the retry time that
+// the upstream stated.
+func (g *Gateway) markBusy(upstream string, header http.Header) {
 	g.fleet.Note(upstream, fleet.Busy)
 	if at := g.proto.ComeBack(header, g.now()); !at.IsZero() {
 		g.fleet.BusyUntil(upstream, at)
 	}
 }
 
-// passOn writes an upstream's answer to the caller unchanged.
-func (g *Gateway) passOn(rq *request, r result) {
+// forwardAnswer writes an upstream's answer to the caller unchanged.
+func (g *Gateway) forwardAnswer(rq *request, r result) {
 	h := rq.w.Header()
 	g.proto.PassHeader(r.header, h)
 	h.Set("Content-Length", strconv.Itoa(len(r.body)))
@@ -347,6 +348,6 @@
 	_, _ = rq.w.Write(r.body)
 	elapsed := g.now().Sub(rq.start)
 	g.met.ended(strconv.Itoa(r.status))
-	g.met.answered(elapsed)
-	g.rec.Note(events.RequestEnded, rq.call.ID, "status", r.status, "upstream", r.upstream, "tries", rq.tries, "took", elapsed, "bytes", len(r.body))
+	g.met.observeAnswer(elapsed)
+	g.rec.Note(events.RequestEnded, rq.call.ID, "status", r.status, "upstream", r.upstream, "tries", rq.attempts, "took", elapsed, "bytes", len(r.body))
 }
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -19,12 +19,12 @@
 // TestPlainCall covers how calls on each kind of route end if all upstreams answer alike.
 func TestPlainCall(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		path   string
-		serve  http.HandlerFunc
-		status int
-		runs   int
-		back   bool
+		name      string
+		path      string
+		serve     http.HandlerFunc
+		status    int
+		runs      int
+		retryTime bool
 	}{
 		{"an answer is passed on", pathSafe, serveOK, 200, 1, false},
 		{"an error is retried at a second upstream and then passed on", pathSafe, serveError, 500, 2, false},
@@ -49,8 +49,8 @@
 			if got.err != nil || got.status != tc.status || runs != tc.runs {
 				t.Errorf("status %d, %v, %d sends; want %d and %d", got.status, got.err, runs, tc.status, tc.runs)
 			}
-			if back := got.header.Get(testBack) != ""; back != tc.back {
-				t.Errorf("retry time sent: %v, want %v", back, tc.back)
+			if retryTime := got.header.Get(testRetryMs) != ""; retryTime != tc.retryTime {
+				t.Errorf("retry time sent: %v, want %v", retryTime, tc.retryTime)
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 	if got := f.ask(pathSafe); got.status != http.StatusOK {
 		t.Fatalf("status %d, want 200", got.status)
 	}
-	if !f.noted(events.HedgeSent) {
+	if !f.recorded(events.HedgeSent) {
 		t.Error("no hedge was sent")
 	}
 }
@@ -192,7 +192,7 @@
 			if got.status != tc.status {
 				t.Errorf("status %d, want %d", got.status, tc.status)
 			}
-			if tc.status == 503 && got.header.Get(testBack) == "" {
+			if tc.status == 503 && got.header.Get(testRetryMs) == "" {
 				t.Error("no retry time sent")
 			}
 		})
@@ -318,7 +318,7 @@
 			f.add("app", "bad", serveError)
 			other := f.add("app", "other", tc.others)
 			// The other upstream has a high load, so the bad one is tried first.
-			claim := f.gateway.ledger.take("other", gossip.Load{Running: 100})
+			claim := f.gateway.loads.add("other", gossip.Load{Running: 100})
 			defer claim.release()
 			f.ask(tc.path)
 			if tc.path == pathSafe && other.runs() != 1 {
@@ -364,10 +364,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		rq := &request{run: newRun(), call: protocol.Call{ID: "r", Header: http.Header{}}, table: table, route: route, service: service, start: time.Now(), deadline: time.Now(), caller: t.Context()}
+		rq := &request{run: newQuarantineRun(), call: protocol.Call{ID: "r", Header: http.Header{}}, table: table, route: route, service: service, start: time.Now(), deadline: time.Now(), caller: t.Context()}
 		c := &callRun{g: f.gateway, rq: rq, tried: map[string]bool{}, results: make(chan result, maxSends+1)}
 		c.results <- result{status: http.StatusOK, verdict: protocol.Ran}
-		if best, ok := c.run(ctx); !ok || !best.good() {
+		if best, ok := c.run(ctx); !ok || !best.final() {
 			t.Fatalf("got %d, %v", best.status, best.err)
 		}
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -15,18 +15,18 @@
 	// start. The rest is a margin for prompts of other entries that this entry has not learned of
 	// yet.
 	startShare = 0.8
-	// mostConsidered limits the engines that one decision examines. They are sampled anew each
+	// maxSampledEngines limits the engines that one decision examines. They are sampled anew each
 	// time. Only if none of them has room are all engines examined. With a larger sample, a
 	// decision would take more than 20 us.
-	mostConsidered = 48
+	maxSampledEngines = 48
 )
 
-// view returns what this entry knows when it makes a placement decision. notifiesPeers says that
-// entries send each other a message whenever they place such a request.
+// view returns the data that a placement decision needs besides the candidates. notifiesPeers is
+// set if entries send each other a message whenever they place such a request.
 func (g *Gateway) view(notifiesPeers bool) *placement.View {
 	return &placement.View{
-		Zone: g.settings.Zone, Now: g.now(), Random: rand.Float64, ReadToken: g.reading.expected(1),
-		Delay: func(zone string) time.Duration { return g.others.Delay(zone, notifiesPeers) },
+		Zone: g.settings.Zone, Now: g.now(), Random: rand.Float64, ReadToken: g.readTime.expected(1),
+		Delay: func(zone string) time.Duration { return g.peers.Delay(zone, notifiesPeers) },
 	}
 }
 
@@ -37,7 +37,7 @@
 	out := make([]placement.Candidate, 0, len(list))
 	for _, u := range list {
 		if !exclude[u.ID] && !u.InBackOff(now) {
-			load, rate := g.ledger.known(u.ID, now)
+			load, rate := g.loads.loadAndRate(u.ID, now)
 			out = append(out, placement.Candidate{Upstream: u, Load: load, Rate: rate, Trial: trials[u.ID]})
 		}
 	}
@@ -51,20 +51,20 @@
 		gen.StartBy = rq.start.Add(time.Duration(startShare * float64(rq.route.Objective))).Sub(now)
 	}
 	// A generation that ends within the notice period of a leaving engine need not be moved.
-	gen.Brief = g.pace.rest(gen.Output, rq.service.Engine.EventTokens) < placement.MoveWithin
+	gen.Brief = g.eventInterval.remaining(gen.Output, rq.service.Engine.EventTokens) < placement.MoveWithin
 	return gen
 }
 
-// admitEngine chooses the engine for a new generation. The error says why there is none.
+// admitEngine chooses the engine for a new generation. The error states why there is none.
 func (g *Gateway) admitEngine(s *stream, exclude map[string]bool) (fleet.Upstream, error) {
 	service := s.rq.service.Name
-	exclude = g.isolated(s.rq, exclude)
+	exclude = g.excludeForIsolation(s.rq, exclude)
 	if s.rq.run.Suspected() {
-		if u, ok := g.admitTrial(s, exclude); ok {
+		if u, ok := g.admitSuspect(s, exclude); ok {
 			return u, nil
 		}
 	}
-	sample, complete := g.fleet.Some(service, mostConsidered, rand.IntN)
+	sample, complete := g.fleet.Some(service, maxSampledEngines, rand.IntN)
 	u, err := g.admitAmong(sample, s, exclude)
 	if err == nil || complete {
 		return u, err
@@ -72,21 +72,22 @@
 	return g.admitAmong(g.fleet.Of(service), s, exclude)
 }
 
-// mostTried limits the engines that are examined for a suspect, starting with the least loaded.
-const mostTried = 4
+// maxTrialEngines limits the engines that are examined for a suspect, starting with the least
+// loaded.
+const maxTrialEngines = 4
 
-// admitTrial chooses an engine for a generation during which an engine crashed before. Engines
+// admitSuspect chooses an engine for a generation during which an engine crashed before. Engines
 // that run the fewest requests come first, since these requests are lost in another crash. In the
 // test rig of internal/quarantine with 4 entries, one request that crashes three or four upstreams
 // cut 1 to 3 healthy requests with this rule, and 5 to 8 if it ran on any engine.
-func (g *Gateway) admitTrial(s *stream, exclude map[string]bool) (fleet.Upstream, bool) {
+func (g *Gateway) admitSuspect(s *stream, exclude map[string]bool) (fleet.Upstream, bool) {
 	list := slices.DeleteFunc(g.fleet.Of(s.rq.service.Name), func(u fleet.Upstream) bool { return u.AvoidUntil().After(g.now()) || u.InBackOff(g.now()) })
 	running := make(map[string]int, len(list))
 	for _, u := range list {
-		running[u.ID] = g.ledger.total(u.ID).Running
+		running[u.ID] = g.loads.total(u.ID).Running
 	}
 	slices.SortFunc(list, func(a, b fleet.Upstream) int { return cmp.Compare(running[a.ID], running[b.ID]) })
-	for _, u := range list[:min(len(list), mostTried)] {
+	for _, u := range list[:min(len(list), maxTrialEngines)] {
 		if u, err := g.admitAmong([]fleet.Upstream{u}, s, exclude); err == nil {
 			return u, true
 		}
@@ -99,7 +100,7 @@
 	view := g.view(true)
 	candidates := g.candidates(list, exclude, view.Now)
 	for i := range candidates {
-		candidates[i].Kept = g.prefixes.kept(candidates[i].ID, s.rq.call.Shared, view.Now)
+		candidates[i].Kept = g.prefixes.cachedTokens(candidates[i].ID, s.rq.call.Shared, view.Now)
 	}
 	usable := g.moveRoom.Usable(s.rq.service.Engine, g.fleet.LeavingShare(s.rq.service.Name), view.Now)
 	return view.Admit(candidates, g.generationOf(s.rq, view.Now), usable)
@@ -115,7 +116,7 @@
 // is the last resort: the generation might have to wait for a permit there in the middle of its
 // answer.
 func (g *Gateway) chooseTarget(s *stream, from fleet.Upstream, exclude map[string]bool) (fleet.Upstream, bool) {
-	if u, ok := g.chooseTargetAmong(s, from, g.unlimited(exclude)); ok || !g.limits.Any() {
+	if u, ok := g.chooseTargetAmong(s, from, g.excludeLimited(exclude)); ok || !g.limits.Any() {
 		return u, ok
 	}
 	return g.chooseTargetAmong(s, from, exclude)
@@ -123,11 +124,11 @@
 
 func (g *Gateway) chooseTargetAmong(s *stream, from fleet.Upstream, exclude map[string]bool) (fleet.Upstream, bool) {
 	view := g.view(true)
-	return view.Target(g.candidates(g.fleet.Of(s.rq.service.Name), exclude, view.Now), s.rest(), from.Zone)
+	return view.Target(g.candidates(g.fleet.Of(s.rq.service.Name), exclude, view.Now), s.remainingDemand(), from.Zone)
 }
 
-// choosePlain returns the best upstream of a plain service that is not excluded.
-func (g *Gateway) choosePlain(service string, exclude map[string]bool) (fleet.Upstream, bool) {
+// chooseUpstream returns the best upstream of a plain service that is not excluded.
+func (g *Gateway) chooseUpstream(service string, exclude map[string]bool) (fleet.Upstream, bool) {
 	view := g.view(false)
 	failing := g.fleet.Failing(service)
 	candidates := g.candidates(g.fleet.Of(service), exclude, view.Now)
@@ -137,9 +138,9 @@
 	return view.Plain(candidates)
 }
 
-// backAfterOverload returns the retry delay for a caller that was refused because no engine had
-// room.
-func (g *Gateway) backAfterOverload(rq *request) time.Duration {
+// retryDelayAfterOverload returns the retry delay for a caller that was refused because no engine
+// had room.
+func (g *Gateway) retryDelayAfterOverload(rq *request) time.Duration {
 	return g.overload(rq.service.Name).Refused(rq.route.Objective, g.now(), rand.Float64())
 }
 
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -35,12 +35,12 @@
 			f := newFixture(t)
 			f.gateway.settings.Zone = "a"
 			f.fleet.Update([]fleet.Record{{Name: "near", Service: "llm", Zone: "a"}, {Name: "far", Service: "llm", Zone: "b"}}, nil, true, time.Time{})
-			claim := f.gateway.ledger.take("near", tc.near)
+			claim := f.gateway.loads.add("near", tc.near)
 			defer claim.release()
 			table, _ := f.routes.Current()
 			route, _ := table.Match("host", pathStream)
 			service, _ := table.Service("llm")
-			rq := &request{run: newRun(), route: route, service: service, start: time.Now()}
+			rq := &request{run: newQuarantineRun(), route: route, service: service, start: time.Now()}
 			rq.call.Prompt, rq.call.MaxOutput = 1000, 1000
 			for range 20 {
 				if u, err := f.gateway.admitEngine(&stream{g: f.gateway, rq: rq}, nil); err != nil || u.ID != tc.want {
@@ -66,10 +66,10 @@
 			f := newFixture(t)
 			f.gateway.settings.Zone = "a"
 			f.fleet.Update([]fleet.Record{{Name: "near", Service: "app", Zone: "a", Slots: 6}, {Name: "far", Service: "app", Zone: "b", Slots: 6}}, nil, true, time.Time{})
-			claim := f.gateway.ledger.take("near", gossip.Load{Running: tc.running})
+			claim := f.gateway.loads.add("near", gossip.Load{Running: tc.running})
 			defer claim.release()
 			for range 20 {
-				if u, ok := f.gateway.choosePlain("app", nil); !ok || u.ID != tc.want {
+				if u, ok := f.gateway.chooseUpstream("app", nil); !ok || u.ID != tc.want {
 					t.Fatalf("%q, %v; want %q", u.ID, ok, tc.want)
 				}
 			}
@@ -82,7 +82,7 @@
 func TestGenerationIsRefusedAtOnceWhenEnginesAreFull(t *testing.T) {
 	f := newFixture(t)
 	e := f.addEngine("e")
-	claim := f.gateway.ledger.take("e", gossip.Load{Running: 4, Held: 99000, Tokens: 99500})
+	claim := f.gateway.loads.add("e", gossip.Load{Running: 4, Held: 99000, Tokens: 99500})
 	defer claim.release()
 	start := time.Now()
 	got := f.ask(pathStream)
@@ -90,8 +90,8 @@
 		t.Errorf("status %d, %d sends after %s; want 503 at once and no sends", got.status, e.runs(), time.Since(start))
 	}
 	least, most := int64((1-placement.BackSpread)*float64(placement.BackLeast.Milliseconds())), int64((1+placement.BackSpread)*float64(placement.BackLeast.Milliseconds()))
-	if ms, err := strconv.ParseInt(got.header.Get(testBack), 10, 64); err != nil || ms < least-1 || ms > most {
-		t.Errorf("retry time of %q ms", got.header.Get(testBack))
+	if ms, err := strconv.ParseInt(got.header.Get(testRetryMs), 10, 64); err != nil || ms < least-1 || ms > most {
+		t.Errorf("retry time of %q ms", got.header.Get(testRetryMs))
 	}
 }
 
@@ -143,17 +143,17 @@
 // crowdedGateway returns a gateway with n half-full engines, and a generation to place.
 func crowdedGateway(n int) (*Gateway, *stream) {
 	set := fleet.New(events.Nop(), time.Now, func(string) {})
-	g := &Gateway{fleet: set, ledger: newLedger(time.Now), prefixes: newPrefixes(), now: time.Now, others: Others{Delay: func(string, bool) time.Duration { return 10 * time.Millisecond }}}
+	g := &Gateway{fleet: set, loads: newLoadTracker(time.Now), prefixes: newPrefixes(), now: time.Now, peers: Others{Delay: func(string, bool) time.Duration { return 10 * time.Millisecond }}}
 	g.quarantine = quarantine.New(events.Nop(), time.Now, func() {})
 	g.limits = limits.New("a", "1", limits.Alone(), events.Nop(), time.Now)
 	g.met = newMetrics(prometheus.NewRegistry(), func() float64 { return 0 })
 	records := make([]fleet.Record, n)
 	for i := range records {
 		records[i] = fleet.Record{Name: strconv.Itoa(i), Service: "llm"}
-		g.ledger.take(records[i].ID, gossip.Load{Running: 4, Held: 15000, Tokens: 17000})
+		g.loads.add(records[i].ID, gossip.Load{Running: 4, Held: 15000, Tokens: 17000})
 	}
 	set.Update(records, nil, true, time.Time{})
 	service := &routetable.Service{Name: "llm", Engine: &routetable.Engine{Slots: 24, MemoryTokens: 34000, EventTokens: 4}}
-	rq := &request{run: newRun(), call: protocol.Call{Prompt: 3000, MaxOutput: 1000}, route: &routetable.Route{Objective: time.Second}, service: service, start: time.Now()}
+	rq := &request{run: newQuarantineRun(), call: protocol.Call{Prompt: 3000, MaxOutput: 1000}, route: &routetable.Route{Objective: time.Second}, service: service, start: time.Now()}
 	return g, &stream{g: g, rq: rq}
 }
--- a/internal/gateway/crashing_test.go
+++ b/internal/gateway/crashing_test.go
@@ -19,34 +19,34 @@
 const crashingBody = "crash"
 
 const (
-	// backAfter is how long after a crash an upstream of these tests restarts.
-	backAfter = 150 * time.Millisecond
-	// toldWithin is the time after the third crash within which entries learn of it here.
-	toldWithin = 300 * time.Millisecond
-	// mostAfterVerdict is how often the request may reach upstreams later than that.
-	mostAfterVerdict = 3
-	// mostEnds is how many upstreams the request may crash in all: three, and those that it had
+	// restartDelay is how long after a crash an upstream of these tests restarts.
+	restartDelay = 150 * time.Millisecond
+	// knownWithin is the time after the third crash within which entries learn of it here.
+	knownWithin = 300 * time.Millisecond
+	// maxLateArrivals is how often the request may reach upstreams later than that.
+	maxLateArrivals = 3
+	// maxCrashes is how many upstreams the request may crash in all: three, and those that it had
 	// reached before the first of them crashed.
-	mostEnds = 6
+	maxCrashes = 6
 )
 
 // crasher is an upstream that closes its connections and its address when it starts to run the
 // crashing body, and restarts a while later as another incarnation.
 type crasher struct {
 	f       *fixture
-	crowd   *crashers
+	group   *crashers
 	record  fleet.Record
 	answers http.HandlerFunc
 }
 
 // crashers are the upstreams of a test, with the times of requests and crashes.
 type crashers struct {
-	mu      sync.Mutex
-	reached []time.Time
-	ends    []time.Time
-	stopped bool
-	servers []*http.Server
-	serving sync.WaitGroup
+	mu       sync.Mutex
+	arrivals []time.Time
+	crashes  []time.Time
+	stopped  bool
+	servers  []*http.Server
+	serving  sync.WaitGroup
 }
 
 // start starts serving as a new incarnation.
@@ -59,18 +59,18 @@
 	s := &http.Server{ReadHeaderTimeout: time.Minute}
 	var once sync.Once
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { c.serve(s, &once, w, r) })
-	c.crowd.mu.Lock()
-	defer c.crowd.mu.Unlock()
-	if c.crowd.stopped {
+	c.group.mu.Lock()
+	defer c.group.mu.Unlock()
+	if c.group.stopped {
 		_ = l.Close()
 		return
 	}
-	c.crowd.servers = append(c.crowd.servers, s)
+	c.group.servers = append(c.group.servers, s)
 	c.record.Address = l.Addr().String()
 	c.record.Born++
 	c.record.Version++
 	c.f.fleet.Update([]fleet.Record{c.record}, nil, false, time.Time{})
-	c.crowd.serving.Go(func() { _ = s.Serve(l) })
+	c.group.serving.Go(func() { _ = s.Serve(l) })
 }
 
 func (c *crasher) serve(s *http.Server, once *sync.Once, w http.ResponseWriter, r *http.Request) {
@@ -80,23 +80,23 @@
 		c.answers(w, r)
 		return
 	}
-	c.crowd.mu.Lock()
-	c.crowd.reached = append(c.crowd.reached, time.Now())
-	c.crowd.mu.Unlock()
+	c.group.mu.Lock()
+	c.group.arrivals = append(c.group.arrivals, time.Now())
+	c.group.mu.Unlock()
 	time.Sleep(5 * time.Millisecond)
-	once.Do(func() { c.end(s) })
+	once.Do(func() { c.crash(s) })
 	panic(http.ErrAbortHandler)
 }
 
-// end crashes this incarnation with all its requests and schedules the next one.
-func (c *crasher) end(s *http.Server) {
+// crash ends this incarnation with all its requests and schedules the next one.
+func (c *crasher) crash(s *http.Server) {
 	_ = s.Close()
-	c.crowd.mu.Lock()
-	defer c.crowd.mu.Unlock()
-	c.crowd.ends = append(c.crowd.ends, time.Now())
+	c.group.mu.Lock()
+	defer c.group.mu.Unlock()
+	c.group.crashes = append(c.group.crashes, time.Now())
 	address := c.record.Address
-	c.crowd.serving.Go(func() {
-		time.Sleep(backAfter)
+	c.group.serving.Go(func() {
+		time.Sleep(restartDelay)
 		c.start(address)
 	})
 }
@@ -105,7 +105,7 @@
 func (f *fixture) addCrashers(service string, n int, answers http.HandlerFunc) *crashers {
 	group := &crashers{}
 	for i := range n {
-		c := &crasher{f: f, crowd: group, answers: answers, record: fleet.Record{Name: service + "-" + strconv.Itoa(i), Service: service, Slots: 6}}
+		c := &crasher{f: f, group: group, answers: answers, record: fleet.Record{Name: service + "-" + strconv.Itoa(i), Service: service, Slots: 6}}
 		c.start("127.0.0.1:0")
 	}
 	f.t.Cleanup(func() {
@@ -120,21 +120,21 @@
 	return group
 }
 
-// afterThird returns how often the crashing request reached an upstream later than toldWithin
+// afterThirdCrash returns how often the crashing request reached an upstream later than knownWithin
 // after the third crash, and the number of crashes.
-func (c *crashers) afterThird() (reached, ends int) {
+func (c *crashers) afterThirdCrash() (reached, crashes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ends) < 3 {
-		return 0, len(c.ends)
+	if len(c.crashes) < 3 {
+		return 0, len(c.crashes)
 	}
-	known := c.ends[2].Add(toldWithin)
-	for _, at := range c.reached {
+	known := c.crashes[2].Add(knownWithin)
+	for _, at := range c.arrivals {
 		if at.After(known) {
 			reached++
 		}
 	}
-	return reached, len(c.ends)
+	return reached, len(c.crashes)
 }
 
 func withBody(body string) func(r *http.Request) {
@@ -144,7 +144,7 @@
 }
 
 // TestPoisonRequestIsQuarantined guards against a poison request that crashes one upstream after
-// another. Without a record of the requests during which upstreams crashed, each repetition at
+// another. Unless entries track the requests during which upstreams crashed, each repetition at
 // any entry is routed like a new request, sent to a second upstream once the first has crashed,
 // and crashes both. One such request crashed 26 engines within 35 s, and half of the chats beside
 // it were cut.
@@ -159,10 +159,10 @@
 		{"a generation that may be resumed", pathResume, "llm", serveShortStream},
 	} {
 		f := newFixture(t)
-		crowd := f.addCrashers(tc.service, 8, tc.answers)
-		asked, served := f.askBeside(tc.path)
-		if reached, ends := crowd.afterThird(); reached > mostAfterVerdict || ends > mostEnds {
-			t.Errorf("%s: the request reached upstreams %d times after the third crash and crashed %d; want at most %d and %d", tc.name, reached, ends, mostAfterVerdict, mostEnds)
+		group := f.addCrashers(tc.service, 8, tc.answers)
+		asked, served := f.askBesidePoison(tc.path)
+		if reached, crashes := group.afterThirdCrash(); reached > maxLateArrivals || crashes > maxCrashes {
+			t.Errorf("%s: the request reached upstreams %d times after the third crash and crashed %d; want at most %d and %d", tc.name, reached, crashes, maxLateArrivals, maxCrashes)
 		}
 		if served*10 < asked*9 {
 			t.Errorf("%s: %d of %d healthy requests served", tc.name, served, asked)
@@ -170,8 +170,8 @@
 	}
 }
 
-// askBeside sends healthy requests while a crashing one is repeated.
-func (f *fixture) askBeside(path string) (asked, served int) {
+// askBesidePoison sends healthy requests while a crashing one is repeated.
+func (f *fixture) askBesidePoison(path string) (asked, served int) {
 	var callers sync.WaitGroup
 	defer callers.Wait()
 	end := time.Now().Add(1500 * time.Millisecond)
@@ -183,7 +183,7 @@
 	})
 	for time.Now().Before(end) {
 		asked++
-		if f.ask(path, withBody("sound "+strconv.Itoa(asked))).status == http.StatusOK {
+		if f.ask(path, withBody("healthy "+strconv.Itoa(asked))).status == http.StatusOK {
 			served++
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -202,7 +202,7 @@
 	for _, tc := range []struct {
 		name      string
 		leaves    bool
-		dies      bool
+		crashes   bool
 		suspected bool
 	}{
 		{"its upstream crashed", false, true, true},
@@ -217,19 +217,19 @@
 				if tc.leaves {
 					f.fleet.MarkLeaving(a.id, "test")
 				}
-				if tc.dies {
+				if tc.crashes {
 					_ = server.Listener.Close()
 				}
 				panic(http.ErrAbortHandler)
 			})
-			server = f.last
+			server = f.lastServer
 			if got := f.ask(pathOnce); got.status != http.StatusBadGateway {
 				t.Fatalf("status %d, %v", got.status, got.err)
 			}
 			if !tc.suspected {
 				time.Sleep(50 * time.Millisecond)
 			}
-			f.until("the broken answer is judged", func() bool { return (len(f.gateway.Quarantine().List()) == 1) == tc.suspected })
+			f.waitUntil("the broken answer is judged", func() bool { return (len(f.gateway.Quarantine().List()) == 1) == tc.suspected })
 		})
 	}
 }
@@ -238,9 +238,9 @@
 // crashed during an earlier run of it.
 func TestSuspectIsNotHedged(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		ends int
-		runs int
+		name    string
+		crashes int
+		runs    int
 	}{
 		{"a request without crashes", 0, 2},
 		{"a suspect", 1, 1},
@@ -256,7 +256,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i := range tc.ends {
+			for i := range tc.crashes {
 				start := strconv.Itoa(i)
 				run.Broke(start)
 				f.gateway.quarantine.Ended(start)
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -30,17 +30,17 @@
 
 // The headers of the test protocol.
 const (
-	testID       = "Test-Id"
-	testKey      = "Test-Key"
-	testUpstream = "Test-Upstream"
-	testDeadline = "Test-Deadline-Ms"
-	testNotRun   = "Test-Not-Run"
-	testProof    = "Test-Proof"
-	testLast     = "Test-Last-Event"
-	testFrom     = "Test-From"
-	testBack     = "Test-Back-Ms"
-	testLimit    = "Test-Limit"
-	testLeaving  = "Test-Leaving"
+	testID        = "Test-Id"
+	testKey       = "Test-Key"
+	testUpstream  = "Test-Upstream"
+	testDeadline  = "Test-Deadline-Ms"
+	testNotRun    = "Test-Not-Run"
+	testProof     = "Test-Proof"
+	testLastEvent = "Test-Last-Event"
+	testFrom      = "Test-From"
+	testRetryMs   = "Test-Back-Ms"
+	testLimit     = "Test-Limit"
+	testLeaving   = "Test-Leaving"
 )
 
 func testProtocol() protocol.Protocol {
@@ -49,7 +49,7 @@
 		Decode: func(r *http.Request, now time.Time) protocol.Call {
 			c := protocol.Call{
 				ID: r.Header.Get(testID), Key: r.Header.Get(testKey), Method: r.Method, Target: r.RequestURI, Host: "host",
-				Header: http.Header{testID: {r.Header.Get(testID)}}, Prompt: 1000, MaxOutput: 1000, LastEvent: r.Header.Get(testLast),
+				Header: http.Header{testID: {r.Header.Get(testID)}}, Prompt: 1000, MaxOutput: 1000, LastEvent: r.Header.Get(testLastEvent),
 			}
 			if ms, err := strconv.Atoi(r.Header.Get(testDeadline)); err == nil {
 				c.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
@@ -59,7 +59,7 @@
 		Forward: func(c *protocol.Call, a protocol.Attempt, now time.Time) link.Request {
 			h := c.Header.Clone()
 			h.Set(testUpstream, a.Upstream)
-			h.Set(testLast, a.LastEvent)
+			h.Set(testLastEvent, a.LastEvent)
 			h.Set(testDeadline, strconv.FormatInt(a.Deadline.Sub(now).Milliseconds(), 10))
 			if a.From != nil {
 				h.Set(testFrom, a.From.Handle)
@@ -86,13 +86,13 @@
 		},
 		Notice: func(status int, h http.Header, now time.Time) protocol.Notice {
 			n := protocol.Notice{Leaving: status != http.StatusMisdirectedRequest && h.Get(testLeaving) != ""}
-			if ms, err := strconv.Atoi(h.Get(testBack)); err == nil && status == http.StatusServiceUnavailable {
+			if ms, err := strconv.Atoi(h.Get(testRetryMs)); err == nil && status == http.StatusServiceUnavailable {
 				n.BackOffUntil = now.Add(time.Duration(ms) * time.Millisecond)
 			}
 			return n
 		},
 		ComeBack: func(h http.Header, now time.Time) time.Time {
-			ms, err := strconv.Atoi(h.Get(testBack))
+			ms, err := strconv.Atoi(h.Get(testRetryMs))
 			if err != nil {
 				return time.Time{}
 			}
@@ -101,7 +101,7 @@
 		PassHeader: func(from, to http.Header) { to.Set(testProof, from.Get(testProof)) },
 		Refuse: func(w http.ResponseWriter, _ *protocol.Call, r protocol.Refusal, now time.Time) {
 			if !r.ComeBack.IsZero() {
-				w.Header().Set(testBack, strconv.FormatInt(r.ComeBack.Sub(now).Milliseconds(), 10))
+				w.Header().Set(testRetryMs, strconv.FormatInt(r.ComeBack.Sub(now).Milliseconds(), 10))
 			}
 			http.Error(w, r.Reason, r.Status)
 		},
@@ -167,8 +167,8 @@
 	rec     *events.Recorder
 	server  *httptest.Server
 	records []fleet.Record
-	// last is the server of the upstream that was added last.
-	last *httptest.Server
+	// lastServer is the server of the upstream that was added last.
+	lastServer *httptest.Server
 	// peers are the other entries that are reachable.
 	peers map[string]gossip.Peer
 	delay time.Duration
@@ -251,8 +251,8 @@
 	return routetable.New(routetable.Version(n), routes, services, routetable.Limits{BodyBytes: 1000, HeaderBytes: testHeaderBytes}, []routetable.Account{{Name: "acme", Keys: keys}})
 }
 
-// newRun returns the run of a request without recorded crashes.
-func newRun() *quarantine.Run {
+// newQuarantineRun returns the run of a request without recorded crashes.
+func newQuarantineRun() *quarantine.Run {
 	run, err := quarantine.New(events.Nop(), time.Now, func() {}).Enter(context.Background(), quarantine.Request{}, 0)
 	if err != nil {
 		panic(err)
@@ -275,7 +275,7 @@
 		serve(w, r)
 	}))
 	f.t.Cleanup(s.Close)
-	f.last = s
+	f.lastServer = s
 	u.address = strings.TrimPrefix(s.URL, "http://")
 	f.records = append(f.records, fleet.Record{Name: id, Service: service, Address: u.address, Slots: 6})
 	f.fleet.Update(f.records, nil, true, time.Time{})
@@ -312,8 +312,8 @@
 	return answer{status: resp.StatusCode, body: string(b), header: resp.Header, closes: resp.Close, err: err}
 }
 
-// noted reports whether the gateway recorded an event.
-func (f *fixture) noted(id events.ID) bool {
+// recorded reports whether the gateway recorded an event.
+func (f *fixture) recorded(id events.ID) bool {
 	for _, e := range f.rec.Select("") {
 		if e.Event == id {
 			return true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,28 +58,29 @@
 	rec      *events.Recorder
 	met      *metrics
 	now      func() time.Time
-	ledger   *ledger
+	loads    *loadTracker
 	// stopBy is when requests have to end in a planned stop, and zero if none is under way.
-	// noticedAt is when the load balancer has noticed the stop.
-	stopBy    instant
-	noticedAt instant
+	// stopNoticedAt is when the load balancer has noticed the stop.
+	stopBy        atomicTime
+	stopNoticedAt atomicTime
 	// stopping is cancelled by giveUpAll when a planned stop gives up the requests in flight.
 	stopping  context.Context
 	giveUpAll context.CancelCauseFunc
-	// inFlight is the number of callers' requests; askedAt is when the latest one started or
+	// inFlight is the number of callers' requests; lastRequestAt is when the latest one started or
 	// ended.
-	inFlight atomic.Int64
-	askedAt  instant
-	pace     pace
-	reading  reading
-	moveRoom placement.MoveRoom
-	prefixes *prefixes
-	trusted  atomic.Bool
+	inFlight      atomic.Int64
+	lastRequestAt atomicTime
+	eventInterval eventInterval
+	readTime      readTime
+	moveRoom      placement.MoveRoom
+	prefixes      *prefixes
+	trusted       atomic.Bool
 	// quarantine tracks the requests that crash upstreams.
 	quarantine *quarantine.Set
-	// began is when this entry started. listed is set once it has read the list of entries.
-	began  time.Time
-	listed atomic.Bool
+	// startedAt is when this entry started. entriesListed is set once it has read the list of
+	// entries.
+	startedAt     time.Time
+	entriesListed atomic.Bool
 	// limits tracks the rate limits that upstreams state.
 	limits *limits.Set
 
@@ -91,14 +92,14 @@
 	moving  map[string]bool
 	// overloads holds the overload state of each service.
 	overloads map[string]*placement.Overload
-	// returns staggers the retries of callers that were refused while all upstreams of their
+	// retryTimes staggers the retries of callers that were refused while all upstreams of their
 	// service were in back-off.
-	returns placement.Returns
-	// inquired holds the time at which each engine was last asked for its state.
-	inquired map[string]time.Time
-	// looking holds the upstreams that are being probed for a crash.
-	looking map[string]bool
-	others  Others
+	retryTimes placement.Returns
+	// queriedAt holds the time at which each engine was last queried for its state.
+	queriedAt map[string]time.Time
+	// probing holds the upstreams that are being probed for a crash.
+	probing map[string]bool
+	peers   Others
 }
 
 // Others gives access to the other entries of the deployment.
@@ -109,7 +110,7 @@
 	// Heard returns the reachable entries and what they reported.
 	Heard func() map[string]gossip.Peer
 	// Delay returns how long it takes this entry to learn of a request that an entry in a zone
-	// placed. nudged says whether that entry called Nudge for the request.
+	// placed. nudged is set if that entry called Nudge for the request.
 	Delay func(zone string, nudged bool) time.Duration
 	// Told returns the time within which all entries receive what Urge sends, and the silence
 	// after which an entry must not be relied on.
@@ -122,10 +123,10 @@
 func New(settings Settings, routes *belief.Routes, set *fleet.Set, pool *link.Pool, proto protocol.Protocol, others Others, rec *events.Recorder, reg prometheus.Registerer, now func() time.Time) *Gateway {
 	g := &Gateway{
 		settings: settings, routes: routes, fleet: set, link: pool, proto: proto, rec: rec,
-		met: newMetrics(reg, func() float64 { return routesAge(routes, now).Seconds() }), now: now, ledger: newLedger(now), prefixes: newPrefixes(), entries: 1,
+		met: newMetrics(reg, func() float64 { return routesAge(routes, now).Seconds() }), now: now, loads: newLoadTracker(now), prefixes: newPrefixes(), entries: 1,
 		budgets: map[string]*routing.Window{}, streams: map[string]map[*stream]bool{}, moving: map[string]bool{}, overloads: map[string]*placement.Overload{},
-		inquired: map[string]time.Time{}, looking: map[string]bool{}, others: others,
-		quarantine: quarantine.New(rec, now, others.Urge), limits: limits.New(settings.Name, settings.Life, others.Limits, rec, now), began: now(),
+		queriedAt: map[string]time.Time{}, probing: map[string]bool{}, peers: others,
+		quarantine: quarantine.New(rec, now, others.Urge), limits: limits.New(settings.Name, settings.Life, others.Limits, rec, now), startedAt: now(),
 	}
 	reg.MustRegister(newLimitRates(g.limits.List))
 	g.stopping, g.giveUpAll = context.WithCancelCause(context.Background())
@@ -139,23 +140,23 @@
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	case !g.servesKeys():
 		http.Error(w, "no confirmed routes", http.StatusServiceUnavailable)
-	case !g.knowsOthers():
+	case !g.peersKnown():
 		http.Error(w, "other entries are not known", http.StatusServiceUnavailable)
 	default:
 		_, _ = w.Write([]byte("ok\n"))
 	}
 }
 
-// othersWithin is how long after its start an entry stays unready while it does not know the
+// peersWait is how long after its start an entry stays unready while it does not know the
 // other entries. It allows a few attempts to read the list of entries while the store is slow.
-const othersWithin = 5 * time.Second
+const peersWait = 5 * time.Second
 
-// knowsOthers reports whether this entry knows which other entries serve, or has waited
-// othersWithin for that. An entry that does not know them judges poison requests alone and takes
-// the whole of the budgets that all entries share, so callers are sent to the other entries
-// meanwhile.
-func (g *Gateway) knowsOthers() bool {
-	return g.listed.Load() || len(g.others.Heard()) > 0 || g.now().Sub(g.began) > othersWithin
+// peersKnown reports whether this entry knows which other entries serve, or has waited
+// peersWait for that. An entry that does not know them decides alone which requests are poison
+// and uses the whole of the retry budgets that all entries share, so callers should be sent to the
+// other entries until then.
+func (g *Gateway) peersKnown() bool {
+	return g.entriesListed.Load() || len(g.peers.Heard()) > 0 || g.now().Sub(g.startedAt) > peersWait
 }
 
 // routesTrusted reports whether there is a route table that is recent enough to check keys with,
@@ -193,43 +194,43 @@
 }
 
 // Load returns this entry's load in flight by upstream.
-func (g *Gateway) Load() map[string]gossip.Load { return g.ledger.snapshot() }
+func (g *Gateway) Load() map[string]gossip.Load { return g.loads.snapshot() }
 
 // Known returns the load in flight of all reachable entries at an upstream.
-func (g *Gateway) Known(upstream string) gossip.Load { return g.ledger.total(upstream) }
+func (g *Gateway) Known(upstream string) gossip.Load { return g.loads.total(upstream) }
 
 // PeerLoad replaces the load in flight of another entry.
-func (g *Gateway) PeerLoad(name string, loads map[string]gossip.Load) { g.ledger.setPeer(name, loads) }
+func (g *Gateway) PeerLoad(name string, loads map[string]gossip.Load) { g.loads.setPeer(name, loads) }
 
 // ForgetSilent drops the load of entries that are no longer reachable. Their connections to
 // engines ended with them, and their load must not keep other requests from being admitted.
 func (g *Gateway) ForgetSilent() {
-	peers := g.others.Heard()
-	g.ledger.keepPeers(func(name string) bool { _, ok := peers[name]; return ok })
-	g.prefixes.forget(func(engine string) bool { _, ok := g.fleet.Get(engine); return ok }, g.now())
+	peers := g.peers.Heard()
+	g.loads.keepPeers(func(name string) bool { _, ok := peers[name]; return ok })
+	g.prefixes.sweep(func(engine string) bool { _, ok := g.fleet.Get(engine); return ok }, g.now())
 }
 
 // Registered sets how many entries the store lists. The retry budget is shared among these or
 // among the reachable entries, whichever are more.
 func (g *Gateway) Registered(registered int) {
-	g.listed.Store(true)
+	g.entriesListed.Store(true)
 	g.limits.Listed(registered)
-	reachable := len(g.others.Heard()) + 1
+	reachable := len(g.peers.Heard()) + 1
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.share(max(reachable, registered))
+	g.setEntries(max(reachable, registered))
 }
 
 // CountHeard raises the number of entries if more are reachable than were listed: entries that
 // start together find only some of the others in the list. Only Registered lowers the number,
 // since an entry that reaches no other entry must not take the whole budget.
 func (g *Gateway) CountHeard() {
-	reachable := len(g.others.Heard()) + 1
-	deliveryTime, silenceLimit := g.others.Told()
+	reachable := len(g.peers.Heard()) + 1
+	deliveryTime, silenceLimit := g.peers.Told()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if reachable > g.entries {
-		g.share(reachable)
+		g.setEntries(reachable)
 		g.limits.Listed(reachable)
 	}
 	for _, b := range g.budgets {
@@ -237,8 +238,8 @@
 	}
 }
 
-// share divides the retry budgets among a number of entries. g.mu must be held.
-func (g *Gateway) share(entries int) {
+// setEntries divides the retry budgets among a number of entries. g.mu must be held.
+func (g *Gateway) setEntries(entries int) {
 	g.entries = entries
 	for _, b := range g.budgets {
 		b.Entries(entries)
@@ -272,7 +273,7 @@
 	if !ok {
 		b = routing.NewWindow(g.settings.RetryRatio, g.settings.RetryExtra, g.settings.RetryWindow, g.now)
 		b.Entries(g.entries)
-		b.Messages(g.others.Told())
+		b.Messages(g.peers.Told())
 		g.budgets[service] = b
 	}
 	return b
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 func TestNumberOfEntriesSharingRetryBudget(t *testing.T) {
 	f := newFixture(t)
 	heard := map[string]gossip.Peer{}
-	f.gateway.others.Heard = func() map[string]gossip.Peer { return heard }
+	f.gateway.peers.Heard = func() map[string]gossip.Peer { return heard }
 	check := func(when string, want int) {
 		t.Helper()
 		if got := f.gateway.entries; got != want {
@@ -39,7 +39,7 @@
 
 // TestReadyOnceOtherEntriesAreKnown guards against an entry that reports ready before it knows
 // any other entry. Three entries that learned of each other 3 to 4 s after their start each
-// judged a poison request alone, and it crashed six upstreams.
+// tracked a poison request alone, and it crashed six upstreams.
 func TestReadyOnceOtherEntriesAreKnown(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -51,13 +51,13 @@
 		{"nothing is known", false, nil, 0, http.StatusServiceUnavailable},
 		{"the list was read", true, nil, 0, http.StatusOK},
 		{"another entry is reachable", false, map[string]gossip.Peer{"b": {}}, 0, http.StatusOK},
-		{"the list has been unreadable for long", false, nil, othersWithin + time.Second, http.StatusOK},
+		{"the list has been unreadable for long", false, nil, peersWait + time.Second, http.StatusOK},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.gateway.listed.Store(tc.listed)
+			f.gateway.entriesListed.Store(tc.listed)
 			f.peers = tc.peers
-			f.gateway.began = time.Now().Add(-tc.age)
+			f.gateway.startedAt = time.Now().Add(-tc.age)
 			w := httptest.NewRecorder()
 			f.gateway.Ready(w, nil)
 			if w.Code != tc.want {
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -47,7 +47,7 @@
 		want         fleet.State
 		counts       bool
 	}{
-		{"the incarnation that was asked", "leaving waiting born 200", 200, fleet.Leaving, true},
+		{"the incarnation that was queried", "leaving waiting born 200", 200, fleet.Leaving, true},
 		{"an earlier incarnation", "leaving waiting born 100", 200, fleet.Serving, false},
 		{"a later incarnation", "leaving waiting born 300", 200, fleet.Serving, false},
 		{"a report without a start time", "leaving waiting", 200, fleet.Leaving, true},
@@ -57,7 +57,7 @@
 			f := newFixture(t)
 			f.add("llm", "a", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, tc.report) })
 			u := f.restart("a", tc.born)
-			state, err := f.gateway.ask(t.Context(), u, "test")
+			state, err := f.gateway.query(t.Context(), u, "test")
 			if got := err == nil && state.Waiting == 1; got != tc.counts {
 				t.Errorf("%+v, %v; want the report applied: %v", state, err, tc.counts)
 			}
@@ -68,24 +68,24 @@
 	}
 }
 
-// started requests a generation and waits until the caller has its first event.
-func (f *fixture) started(path string) chan answer {
+// startGeneration requests a generation and waits until the caller has its first event.
+func (f *fixture) startGeneration(path string) chan answer {
 	f.t.Helper()
 	result := make(chan answer, 1)
-	before := f.begun()
+	before := f.generationsWithEvents()
 	go func() { result <- f.ask(path) }()
-	f.until("a generation has begun", func() bool { return f.begun() > before })
+	f.waitUntil("a generation has begun", func() bool { return f.generationsWithEvents() > before })
 	return result
 }
 
-// begun returns the number of running generations of which the caller has an event.
-func (f *fixture) begun() int {
+// generationsWithEvents returns the number of running generations of which the caller has an event.
+func (f *fixture) generationsWithEvents() int {
 	f.gateway.mu.Lock()
 	defer f.gateway.mu.Unlock()
 	n := 0
 	for _, streams := range f.gateway.streams {
 		for s := range streams {
-			if s.made() > 0 {
+			if s.eventCount() > 0 {
 				n++
 			}
 		}
@@ -93,8 +93,8 @@
 	return n
 }
 
-// until waits until a condition is true.
-func (f *fixture) until(what string, condition func() bool) {
+// waitUntil waits until a condition is true.
+func (f *fixture) waitUntil(what string, condition func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -125,18 +125,18 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			e := f.addEngine("a")
-			e.copies, e.pace = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 5*time.Millisecond
+			e.copies, e.eventInterval = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 5*time.Millisecond
 			earlier := f.restart("a", 1)
-			result := f.started(tc.path)
+			result := f.startGeneration(tc.path)
 			if tc.breaksBefore {
 				e.crash()
-				f.until("the break is noticed", func() bool { return len(f.gateway.Streams()) == 0 })
+				f.waitUntil("the break is noticed", func() bool { return len(f.gateway.Streams()) == 0 })
 			}
 			if tc.leaves {
 				f.fleet.MarkLeaving(earlier.ID, "test")
 			}
 			later := f.restart("a", 2)
-			if load := f.gateway.ledger.total(later.ID); load != (gossip.Load{}) {
+			if load := f.gateway.loads.total(later.ID); load != (gossip.Load{}) {
 				t.Errorf("the later incarnation has the load %+v of the earlier one", load)
 			}
 			if tc.breaksAfter {
@@ -162,17 +162,17 @@
 func TestNothingIsMovedFromAnEndedIncarnation(t *testing.T) {
 	f := newFixture(t)
 	a := f.addEngine("a")
-	a.copies, a.pace, a.copyWait = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 20*time.Millisecond, make(chan struct{})
+	a.copies, a.eventInterval, a.copyWait = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 20*time.Millisecond, make(chan struct{})
 	earlier := f.restart("a", 1)
 	var results []chan answer
 	for range 3 {
-		result := f.started(pathStream)
+		result := f.startGeneration(pathStream)
 		results = append(results, result)
 	}
 	f.addEngine("b")
 	f.restart("a", 1)
 	f.fleet.MarkLeaving(earlier.ID, "test")
-	f.until("a copy command has arrived", func() bool { return a.ordered() > 0 })
+	f.waitUntil("a copy command has arrived", func() bool { return a.commandsArrived() > 0 })
 	f.restart("a", 2)
 	close(a.copyWait)
 	for _, result := range results {
@@ -182,8 +182,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.orders) != 1 {
-		t.Errorf("copy commands %v, want only the one that was in progress", a.orders)
+	if len(a.commands) != 1 {
+		t.Errorf("copy commands %v, want only the one that was in progress", a.commands)
 	}
 }
 
@@ -194,15 +194,15 @@
 	f := newFixture(t)
 	a := f.addEngine("a")
 	a.copies = []protocol.CopyResult{{Handle: "h1"}, {Handle: "h2"}, {Handle: "h3"}}
-	a.pace, a.copyWait = 5*time.Millisecond, make(chan struct{})
+	a.eventInterval, a.copyWait = 5*time.Millisecond, make(chan struct{})
 	from := f.restart("a", 1)
-	result := f.started(pathStream)
+	result := f.startGeneration(pathStream)
 	b := f.addEngine("b")
 	b.copies = []protocol.CopyResult{{}}
 	f.restart("a", 1)
 	f.restart("b", 1)
 	f.fleet.MarkLeaving(from.ID, "test")
-	f.until("a copy command has arrived", func() bool { return a.ordered() > 0 })
+	f.waitUntil("a copy command has arrived", func() bool { return a.commandsArrived() > 0 })
 	f.restart("b", 2)
 	close(a.copyWait)
 	if got := <-result; got.err != nil || got.body != wholeStream() {
@@ -305,7 +305,7 @@
 	earlier := f.restart("a", 1)
 	shared := []protocol.PromptPart{{ID: "p", Tokens: 500}}
 	f.gateway.prefixes.note(earlier.ID, shared, time.Now())
-	f.gateway.ledger.take(earlier.ID, gossip.Load{Running: 1, Held: 10})
+	f.gateway.loads.add(earlier.ID, gossip.Load{Running: 1, Held: 10})
 	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 3, Held: 30}})
 	later := f.restart("a", 2)
 	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 9, Held: 90}})
@@ -313,7 +313,7 @@
 	if len(c) != 1 || c[0].ID != later.ID || c[0].Load != (gossip.Load{}) || c[0].Rate != 0 {
 		t.Errorf("candidates %+v, want the later incarnation without load", c)
 	}
-	if got := f.gateway.prefixes.kept(later.ID, shared, time.Now()); got != 0 {
+	if got := f.gateway.prefixes.cachedTokens(later.ID, shared, time.Now()); got != 0 {
 		t.Errorf("%d tokens are cached at the later incarnation, want 0", got)
 	}
 }
--- a/internal/gateway/instant.go
+++ b/internal/gateway/instant.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// instant is a time that can be read and set concurrently. It keeps the monotonic clock reading,
+// atomicTime is a time that can be read and set concurrently. It keeps the monotonic clock reading,
 // which a count of nanoseconds would lose: the wall clock may jump.
-type instant struct{ at atomic.Pointer[time.Time] }
+type atomicTime struct{ at atomic.Pointer[time.Time] }
 
-func (i *instant) Set(at time.Time) { i.at.Store(&at) }
+func (a *atomicTime) Store(at time.Time) { a.at.Store(&at) }
 
-// Get returns the time, or the zero time if it was never set.
-func (i *instant) Get() time.Time {
-	if at := i.at.Load(); at != nil {
+// Load returns the time, or the zero time if it was never set.
+func (a *atomicTime) Load() time.Time {
+	if at := a.at.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
--- a/internal/gateway/isolated_test.go
+++ b/internal/gateway/isolated_test.go
@@ -9,8 +9,8 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
-// suspected returns the run of a request during which some incarnations of upstreams crashed.
-func (f *fixture) suspected(body string, starts ...string) *quarantine.Run {
+// suspectRun returns the run of a request during which some incarnations of upstreams crashed.
+func (f *fixture) suspectRun(body string, starts ...string) *quarantine.Run {
 	f.t.Helper()
 	req := quarantine.Request{Fingerprint: quarantine.FingerprintOf(http.MethodPost, "host", pathSafe, "acme", []byte(body))}
 	run, err := f.gateway.quarantine.Enter(f.t.Context(), req, 0)
@@ -35,10 +35,10 @@
 func TestSuspectsAreIsolated(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// ends are the incarnations that crashed during the request, and broken the upstreams
+		// crashed are the incarnations that crashed during the request, and broken the upstreams
 		// whose connections broke.
-		ends   []string
-		broken []string
+		crashed []string
+		broken  []string
 		// other is where the other suspect runs; empty if it does not run.
 		other string
 		want  map[string]bool
@@ -52,18 +52,18 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.fleet.Update([]fleet.Record{{Name: "a", Service: "app", Slots: 6}, {Name: "b", Service: "app", Slots: 6}, {Name: "c", Service: "app", Slots: 6}}, nil, true, time.Time{})
-			f.suspected("other", "gone 3").SentTo(tc.other)
+			f.suspectRun("other", "gone 3").SentTo(tc.other)
 			for _, id := range tc.broken {
 				f.fleet.Note(id, fleet.Broken)
 			}
 			table, _ := f.routes.Current()
 			service, _ := table.Service("app")
-			rq := &request{run: newRun(), service: service}
-			if tc.ends != nil {
-				rq.run = f.suspected("body", tc.ends...)
+			rq := &request{run: newQuarantineRun(), service: service}
+			if tc.crashed != nil {
+				rq.run = f.suspectRun("body", tc.crashed...)
 			}
 			for range 30 {
-				u, _ := f.gateway.choosePlain("app", f.gateway.isolated(rq, nil))
+				u, _ := f.gateway.chooseUpstream("app", f.gateway.excludeForIsolation(rq, nil))
 				if !tc.want[u.ID] {
 					t.Fatalf("goes to %q, want one of %v", u.ID, tc.want)
 				}
@@ -77,11 +77,11 @@
 func TestSuspectThatCannotBeIsolatedIsRefused(t *testing.T) {
 	f := newFixture(t)
 	u := f.add("app", "a", serveOK)
-	f.suspected("other", "gone 3").SentTo("a")
-	f.suspected("body", "gone 1", "gone 2").Leave()
+	f.suspectRun("other", "gone 3").SentTo("a")
+	f.suspectRun("body", "gone 1", "gone 2").Leave()
 	start := time.Now()
 	got := f.ask(pathSafe)
-	if got.status != http.StatusServiceUnavailable || got.header.Get(testBack) == "" || u.runs() != 0 || time.Since(start) > time.Second {
-		t.Errorf("status %d, retry time %q, %d runs after %s; want 503 at once with a retry time and no runs", got.status, got.header.Get(testBack), u.runs(), time.Since(start))
+	if got.status != http.StatusServiceUnavailable || got.header.Get(testRetryMs) == "" || u.runs() != 0 || time.Since(start) > time.Second {
+		t.Errorf("status %d, retry time %q, %d runs after %s; want 503 at once with a retry time and no runs", got.status, got.header.Get(testRetryMs), u.runs(), time.Since(start))
 	}
 }
--- a/internal/gateway/ledger_test.go
+++ b/internal/gateway/ledger_test.go
@@ -7,18 +7,18 @@
 	"github.com/sparshore/sparshore/internal/gossip"
 )
 
-// TestLedgerTotals: totals follow this entry's claims and the load that other entries report, and
-// nothing remains of load that has ended.
-func TestLedgerTotals(t *testing.T) {
-	l := newLedger(time.Now)
+// TestLoadTrackerTotals: totals follow this entry's claims and the load that other entries report,
+// and nothing remains of load that has ended.
+func TestLoadTrackerTotals(t *testing.T) {
+	l := newLoadTracker(time.Now)
 	load := func(n int) gossip.Load { return gossip.Load{Running: 1, Tokens: n, Held: n / 2} }
-	c := l.take("a", load(100))
+	c := l.add("a", load(100))
 	l.setPeer("p", map[string]gossip.Load{"a": load(10), "b": load(20)})
 	l.setPeer("q", map[string]gossip.Load{"a": load(1)})
 	if got := l.total("a"); got.Running != 3 || got.Tokens != 111 {
 		t.Errorf("total of a %+v, want 3 running and 111 tokens", got)
 	}
-	c.change(load(200))
+	c.update(load(200))
 	l.setPeer("p", map[string]gossip.Load{"b": load(30)})
 	if got := l.total("a"); got.Running != 2 || got.Tokens != 201 {
 		t.Errorf("total of a %+v, want 2 running and 201 tokens", got)
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -19,8 +19,9 @@
 const (
 	// limitWindow is the window over which the requests at an upstream are counted.
 	limitWindow = 2 * time.Second
-	// limitTold is the time after a limit is first stated within which an entry has to obey it.
-	limitTold = 500 * time.Millisecond
+	// limitKnownWithin is the time after a limit is first stated within which an entry has to obey
+	// it.
+	limitKnownWithin = 500 * time.Millisecond
 )
 
 // limitedUpstream is an upstream that states how many requests a second it accepts.
@@ -48,8 +49,8 @@
 	l.answers(w, r)
 }
 
-// most returns the largest number of requests that arrived in one window after a time.
-func (l *limitedUpstream) most(after time.Time) int {
+// maxInWindow returns the largest number of requests that arrived in one window after a time.
+func (l *limitedUpstream) maxInWindow(after time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	most, from := 0, 0
@@ -104,7 +105,7 @@
 	f.add("app", "c", serveOK)
 	begun := time.Now()
 	counts := f.askEach(pathSafe, 15*time.Millisecond, 3*time.Second)
-	if got := limited.most(begun.Add(limitTold)); got > allowed(limited.rate) {
+	if got := limited.maxInWindow(begun.Add(limitKnownWithin)); got > allowed(limited.rate) {
 		t.Errorf("the upstream got %d requests in %s at a limit of %v a second; want at most %d", got, limitWindow, limited.rate, allowed(limited.rate))
 	}
 	for status, n := range counts {
@@ -131,7 +132,7 @@
 			for i, u := range upstreams {
 				f.add(tc.service, fmt.Sprint("u", i), u.serve)
 			}
-			f.askEach(tc.path, 10*time.Millisecond, limitTold)
+			f.askEach(tc.path, 10*time.Millisecond, limitKnownWithin)
 			slowest := 0 * time.Second
 			begun := time.Now()
 			served, refused := 0, 0
@@ -141,11 +142,11 @@
 				switch {
 				case got.status == http.StatusOK:
 					served++
-				case got.status == http.StatusServiceUnavailable && got.header.Get(testBack) != "":
+				case got.status == http.StatusServiceUnavailable && got.header.Get(testRetryMs) != "":
 					refused++
 					slowest = max(slowest, time.Since(at))
 				default:
-					t.Fatalf("status %d, %v, retry time %q", got.status, got.err, got.header.Get(testBack))
+					t.Fatalf("status %d, %v, retry time %q", got.status, got.err, got.header.Get(testRetryMs))
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -154,7 +155,7 @@
 				t.Errorf("%d served and %d refused in 3 s at a limit of 5 a second", served, refused)
 			}
 			for i, u := range upstreams {
-				if got := u.most(begun); got > allowed(u.rate) {
+				if got := u.maxInWindow(begun); got > allowed(u.rate) {
 					t.Errorf("u%d got %d in %s, want at most %d", i, got, limitWindow, allowed(u.rate))
 				}
 			}
@@ -198,7 +199,7 @@
 	f.askEach(pathSafe, 10*time.Millisecond, 500*time.Millisecond)
 	text.Store("many")
 	f.askEach(pathSafe, 10*time.Millisecond, 2500*time.Millisecond)
-	if !f.noted(events.LimitRejected) {
+	if !f.recorded(events.LimitRejected) {
 		t.Error("the malformed limit is not logged")
 	}
 	if got := f.gateway.Limits().Rate("a"); got != 0.5 {
@@ -219,12 +220,12 @@
 	// Uses up the permits that may be granted now.
 	for f.gateway.limits.Take(t.Context(), "limited") == nil {
 	}
-	rq := &request{route: &routetable.Route{Objective: 100 * time.Millisecond}, service: &routetable.Service{Name: "llm", Engine: &routetable.Engine{}}, start: time.Now(), run: newRun()}
+	rq := &request{route: &routetable.Route{Objective: 100 * time.Millisecond}, service: &routetable.Service{Name: "llm", Engine: &routetable.Engine{}}, start: time.Now(), run: newQuarantineRun()}
 	s := &stream{g: f.gateway, rq: rq}
 	if _, err := s.admit(t.Context(), nil); !errors.Is(err, errLimited) {
 		t.Errorf("a new generation got %v, want errLimited", err)
 	}
-	u, err := s.goOnAt(t.Context(), nil)
+	u, err := s.admitResumed(t.Context(), nil)
 	if err != nil || u.ID != "limited" {
 		t.Errorf("the rest of an answer goes to %q, %v; want it to wait for a permit", u.ID, err)
 	}
@@ -236,7 +237,7 @@
 func TestHedgesSkipLimitedUpstreams(t *testing.T) {
 	f := newFixture(t)
 	f.gateway.limits.Named("a", 1000)
-	if got := f.gateway.unlimited(map[string]bool{"b": true}); !got["a"] || !got["b"] {
+	if got := f.gateway.excludeLimited(map[string]bool{"b": true}); !got["a"] || !got["b"] {
 		t.Errorf("excluded are %v, want a and b", got)
 	}
 }
@@ -304,7 +305,7 @@
 }
 
 // TestLimitInAnswerToAnotherRequestIsIgnored: a limit in an answer to another request does not
-// apply to the upstream that was asked.
+// apply to the upstream that the request was sent to.
 func TestLimitInAnswerToAnotherRequestIsIgnored(t *testing.T) {
 	f := newFixture(t)
 	f.add("app", "a", func(w http.ResponseWriter, r *http.Request) {
@@ -325,10 +326,10 @@
 	f.add("llm", "e", serveOK)
 	f.gateway.limits.Named("e", 0.1)
 	at, _ := f.gateway.fleet.Get("e")
-	rq := &request{route: &routetable.Route{}, service: &routetable.Service{Name: "llm"}, run: newRun(), start: time.Now()}
+	rq := &request{route: &routetable.Route{}, service: &routetable.Service{Name: "llm"}, run: newQuarantineRun(), start: time.Now()}
 	s := &stream{g: f.gateway, rq: rq, copies: []heldCopy{{at: at}}}
-	if st, ok := s.afterBreak(t.Context(), nil); ok || s.stuck != errLimited.Error() {
-		t.Errorf("the generation continues at %q (%v), reason %q; want errLimited", st.at.ID, ok, s.stuck)
+	if st, ok := s.nextAfterBreak(t.Context(), nil); ok || s.notResumedWhy != errLimited.Error() {
+		t.Errorf("the generation continues at %q (%v), reason %q; want errLimited", st.at.ID, ok, s.notResumedWhy)
 	}
 }
 
@@ -378,7 +379,7 @@
 			t.Parallel()
 			f := newFixture(t)
 			full := f.add("app", "full", func(w http.ResponseWriter, _ *http.Request) {
-				w.Header().Set(testBack, "1000")
+				w.Header().Set(testRetryMs, "1000")
 				w.Header().Set(testNotRun, "1")
 				w.WriteHeader(status)
 			})
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,24 +11,24 @@
 
 // metrics are the gateway's counters and histograms.
 type metrics struct {
-	refusals *prometheus.CounterVec
-	answers  *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	moves    *prometheus.CounterVec
-	without  *prometheus.CounterVec
-	permits  *prometheus.CounterVec
-	held     prometheus.Counter
-	answer   prometheus.Histogram
-	first    prometheus.Histogram
-	gap      prometheus.Histogram
+	refusals        *prometheus.CounterVec
+	answers         *prometheus.CounterVec
+	attempts        *prometheus.CounterVec
+	moves           *prometheus.CounterVec
+	unansweredTotal *prometheus.CounterVec
+	permits         *prometheus.CounterVec
+	quarantined     prometheus.Counter
+	answer          prometheus.Histogram
+	firstEvent      prometheus.Histogram
+	gap             prometheus.Histogram
 }
 
 // Values of the cause label for requests that end without a complete answer.
 const (
-	// unansweredLeft: the caller or the network closed the connection.
-	unansweredLeft = "caller left"
-	// unansweredEnded: this process closed the connection.
-	unansweredEnded = "connection ended here"
+	// unansweredCallerClosed: the caller or the network closed the connection.
+	unansweredCallerClosed = "caller left"
+	// unansweredClosedHere: this process closed the connection.
+	unansweredClosedHere = "connection ended here"
 	// unansweredPanic: the handler panicked.
 	unansweredPanic = "panic"
 )
@@ -36,31 +36,31 @@
 // newMetrics registers the metrics; age returns the age of the route table in seconds.
 func newMetrics(reg prometheus.Registerer, age func() float64) *metrics {
 	m := &metrics{
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_refusals_total", Help: "Requests that the gateway answered itself instead of an upstream, by status."}, []string{"status"}),
-		answers:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_answers_total", Help: "Finished requests, by result."}, []string{"end"}),
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_attempts_total", Help: "Requests sent to upstreams, by reason."}, []string{"reason"}),
-		moves:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_moves_total", Help: "Moves of running generations, by result."}, []string{"result"}),
-		without:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_unanswered_total", Help: "Requests whose connection ended without a complete answer, by cause."}, []string{"cause"}),
-		permits:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_permits_total", Help: "Permits requested for sending to rate-limited upstreams, by result."}, []string{"result"}),
-		held:     prometheus.NewCounter(prometheus.CounterOpts{Name: "sparshore_gateway_held_total", Help: "Requests refused because upstreams crashed while running them."}),
-		answer:   prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_answer_seconds", Help: "Time to the complete answer of a plain call.", Buckets: prometheus.ExponentialBuckets(0.004, 2, 12)}),
-		first:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_first_event_seconds", Help: "Time to a stream's first event.", Buckets: prometheus.ExponentialBuckets(0.02, 2, 12)}),
-		gap:      prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_move_gap_seconds", Help: "Pause of a stream while its generation moved.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)}),
+		refusals:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_refusals_total", Help: "Requests that the gateway answered itself instead of an upstream, by status."}, []string{"status"}),
+		answers:         prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_answers_total", Help: "Finished requests, by result."}, []string{"end"}),
+		attempts:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_attempts_total", Help: "Requests sent to upstreams, by reason."}, []string{"reason"}),
+		moves:           prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_moves_total", Help: "Moves of running generations, by result."}, []string{"result"}),
+		unansweredTotal: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_unanswered_total", Help: "Requests whose connection ended without a complete answer, by cause."}, []string{"cause"}),
+		permits:         prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_permits_total", Help: "Permits requested for sending to rate-limited upstreams, by result."}, []string{"result"}),
+		quarantined:     prometheus.NewCounter(prometheus.CounterOpts{Name: "sparshore_gateway_held_total", Help: "Requests refused because upstreams crashed while running them."}),
+		answer:          prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_answer_seconds", Help: "Time to the complete answer of a plain call.", Buckets: prometheus.ExponentialBuckets(0.004, 2, 12)}),
+		firstEvent:      prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_first_event_seconds", Help: "Time to a stream's first event.", Buckets: prometheus.ExponentialBuckets(0.02, 2, 12)}),
+		gap:             prometheus.NewHistogram(prometheus.HistogramOpts{Name: "sparshore_gateway_move_gap_seconds", Help: "Pause of a stream while its generation moved.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 12)}),
 	}
 	routes := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "sparshore_gateway_routes_age_seconds", Help: "Time since the route table was last confirmed to be current."}, age)
-	reg.MustRegister(routes, m.refusals, m.answers, m.attempts, m.moves, m.without, m.permits, m.held, m.answer, m.first, m.gap)
+	reg.MustRegister(routes, m.refusals, m.answers, m.attempts, m.moves, m.unansweredTotal, m.permits, m.quarantined, m.answer, m.firstEvent, m.gap)
 	return m
 }
 
-func (m *metrics) refused(status int)       { m.refusals.WithLabelValues(strconv.Itoa(status)).Inc() }
-func (m *metrics) ended(end string)         { m.answers.WithLabelValues(end).Inc() }
-func (m *metrics) tried(reason string)      { m.attempts.WithLabelValues(reason).Inc() }
-func (m *metrics) permitted(err error)      { m.permits.WithLabelValues(permitResult(err)).Inc() }
-func (m *metrics) moved(result string)      { m.moves.WithLabelValues(result).Inc() }
-func (m *metrics) unanswered(cause string)  { m.without.WithLabelValues(cause).Inc() }
-func (m *metrics) answered(d time.Duration) { m.answer.Observe(d.Seconds()) }
-func (m *metrics) began(d time.Duration)    { m.first.Observe(d.Seconds()) }
-func (m *metrics) paused(d time.Duration)   { m.gap.Observe(d.Seconds()) }
+func (m *metrics) refused(status int)                { m.refusals.WithLabelValues(strconv.Itoa(status)).Inc() }
+func (m *metrics) ended(end string)                  { m.answers.WithLabelValues(end).Inc() }
+func (m *metrics) attempted(reason string)           { m.attempts.WithLabelValues(reason).Inc() }
+func (m *metrics) permitted(err error)               { m.permits.WithLabelValues(permitResult(err)).Inc() }
+func (m *metrics) moved(result string)               { m.moves.WithLabelValues(result).Inc() }
+func (m *metrics) unanswered(cause string)           { m.unansweredTotal.WithLabelValues(cause).Inc() }
+func (m *metrics) observeAnswer(d time.Duration)     { m.answer.Observe(d.Seconds()) }
+func (m *metrics) observeFirstEvent(d time.Duration) { m.firstEvent.Observe(d.Seconds()) }
+func (m *metrics) observeMoveGap(d time.Duration)    { m.gap.Observe(d.Seconds()) }
 
 // limitRates exports the rate limits in force by upstream.
 type limitRates struct {
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -19,20 +19,20 @@
 	// moveTargets bounds the target engines that are tried for one generation. An engine
 	// without room refuses within about 10 ms, and a leaving engine has 1.5 s.
 	moveTargets = 6
-	// copyWithin bounds one copy command. Engines stop at most a few seconds after the
+	// copyTimeout bounds one copy command. Engines stop at most a few seconds after the
 	// notice that they leave, so a longer copy completes too late.
-	copyWithin = 4 * time.Second
-	// orderPause is the wait before a copy command is repeated because the engine was
+	copyTimeout = 4 * time.Second
+	// copyRetryInterval is the wait before a copy command is repeated because the engine was
 	// still executing another one.
-	orderPause = 30 * time.Millisecond
-	// copyTakes approximates the time from a copy command until the copy is complete,
+	copyRetryInterval = 30 * time.Millisecond
+	// typicalCopyTime approximates the time from a copy command until the copy is complete,
 	// including the wait behind copies of other streams. Of 188 commands on engines with
 	// about six streams each, a quarter took less than 0.24 s and half less than 0.47 s. A
 	// generation that ends sooner is not moved, because a copy that completes too late
 	// occupies memory of its target for nothing.
-	copyTakes = 400 * time.Millisecond
-	// maxOrderAnswer bounds in bytes an engine's answer to a command or a state query.
-	maxOrderAnswer = 64 << 10
+	typicalCopyTime = 400 * time.Millisecond
+	// maxCommandAnswer bounds in bytes an engine's answer to a command or a state query.
+	maxCommandAnswer = 64 << 10
 )
 
 // register adds a stream to those that Evacuate moves from an engine. The value false
@@ -55,9 +55,9 @@
 	}
 }
 
-// startedAt is called at the first event of a stream. If its engine is already leaving,
-// startedAt starts an evacuation, since earlier ones skipped a stream without events.
-func (g *Gateway) startedAt(s *stream) {
+// onFirstEvent is called at the first event of a stream. If its engine is already leaving,
+// onFirstEvent starts an evacuation, since earlier ones skipped a stream without events.
+func (g *Gateway) onFirstEvent(s *stream) {
 	if u, ok := g.fleet.Get(s.at.ID); ok && u.State() == fleet.Leaving {
 		g.Evacuate(u.ID)
 	}
@@ -94,7 +94,7 @@
 	defer g.mu.Unlock()
 	var next *stream
 	for s, tried := range g.streams[upstream] {
-		if !tried && s.movable() && (next == nil || s.made() > next.made()) {
+		if !tried && s.movable() && (next == nil || s.eventCount() > next.eventCount()) {
 			next = s
 		}
 	}
@@ -111,7 +111,7 @@
 func (s *stream) movable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.events > 0 && s.rq.service.Engine.Moves && !s.endsWithin(copyTakes)
+	return s.events > 0 && s.rq.service.Engine.Moves && !s.endsWithin(typicalCopyTime)
 }
 
 // endsWithin reports whether the generation is certain to end within d, given the maximum
@@ -122,11 +122,11 @@
 		return false
 	}
 	eventTokens := s.rq.service.Engine.EventTokens
-	return s.g.pace.rest(maxTokens-s.events*eventTokens, eventTokens) < d
+	return s.g.eventInterval.remaining(maxTokens-s.events*eventTokens, eventTokens) < d
 }
 
-// made returns the number of events that the caller has received.
-func (s *stream) made() int {
+// eventCount returns the number of events that the caller has received.
+func (s *stream) eventCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.events
@@ -160,28 +160,28 @@
 	g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "why", why)
 }
 
-// rest returns what the generation requires of a target engine: room for the tokens that it
-// holds now and for the output that is still expected.
-func (s *stream) rest() *placement.Generation {
+// remainingDemand returns what the generation requires of a target engine: room for the tokens that
+// it holds now and for the output that is still expected.
+func (s *stream) remainingDemand() *placement.Generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, engine := s.held(), s.rq.service.Engine
-	return &placement.Generation{Engine: engine, Prompt: held, Output: max(s.need()-held, engine.EventTokens), Repeats: true}
+	held, engine := s.heldTokens(), s.rq.service.Engine
+	return &placement.Generation{Engine: engine, Prompt: held, Output: max(s.expectedTokens()-held, engine.EventTokens), Repeats: true}
 }
 
 // moveTo moves a generation to one engine. It returns true if another target should be
 // tried.
 func (g *Gateway) moveTo(s *stream, from, target fleet.Upstream) (tryNext bool) {
 	s.mu.Lock()
-	load := gossip.Load{Running: 1, Tokens: s.need(), Held: s.held()}
+	load := gossip.Load{Running: 1, Tokens: s.expectedTokens(), Held: s.heldTokens()}
 	s.mu.Unlock()
-	claim := g.ledger.take(target.ID, load)
+	claim := g.loads.add(target.ID, load)
 	defer claim.release()
-	g.rec.Note(events.StreamMoveStarted, s.rq.call.ID, "from", from.ID, "to", target.ID, "events", s.made(), "need", s.need())
-	r := g.orderCopy(s, from, target, false)
+	g.rec.Note(events.StreamMoveStarted, s.rq.call.ID, "from", from.ID, "to", target.ID, "events", s.eventCount(), "need", s.expectedTokens())
+	r := g.sendCopyCommand(s, from, target, false)
 	switch r.Outcome {
 	case protocol.Copied:
-		if !g.there(target.ID) {
+		if !g.incarnationKnown(target.ID) {
 			g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "to", target.ID, "why", "the target started again")
 			return true
 		}
@@ -204,25 +204,25 @@
 	}
 	go func() {
 		defer close(done)
-		g.stopRun(s, done, from, target)
+		g.stopGeneration(s, done, from, target)
 	}()
 	return false
 }
 
-// stopRun stops a generation whose first copy is complete, with a second copy command that
+// stopGeneration stops a generation whose first copy is complete, with a second copy command that
 // includes the tokens since then. The relay resumes from the first copy without waiting for
 // the second, which queues behind copies for other entries: the target can recompute the few
 // missing tokens at once. The second copy serves if the target refuses the first.
-func (g *Gateway) stopRun(s *stream, done chan struct{}, from, target fleet.Upstream) {
-	r := g.orderCopy(s, from, target, true)
+func (g *Gateway) stopGeneration(s *stream, done chan struct{}, from, target fleet.Upstream) {
+	r := g.sendCopyCommand(s, from, target, true)
 	switch r.Outcome {
 	case protocol.Copied:
 		g.met.moved("moved")
-		s.stopped(done, from, r.Handle, target)
+		s.recordFinalCopy(done, from, r.Handle, target)
 	case protocol.NoRoom:
 		// The engine has stopped the generation and still holds its memory.
 		g.met.moved("no room for the rest")
-		s.stopped(done, from, r.Handle, from)
+		s.recordFinalCopy(done, from, r.Handle, from)
 	case protocol.NoSuchRun:
 		g.met.moved("ended")
 	default:
@@ -244,10 +244,10 @@
 	return s.handover, true
 }
 
-// stopped records the copy that was made when the generation was stopped and that holds all
+// recordFinalCopy records the copy that was made when the generation was stopped and that holds all
 // of its memory; an empty handle means that there is none. The relay uses this copy if it
 // cannot resume from the first one. If the relay has already resumed, the copy is released.
-func (s *stream) stopped(done chan struct{}, from fleet.Upstream, handle string, at fleet.Upstream) {
+func (s *stream) recordFinalCopy(done chan struct{}, from fleet.Upstream, handle string, at fleet.Upstream) {
 	if handle == "" {
 		return
 	}
@@ -263,20 +263,20 @@
 	}
 }
 
-// releaseWithin bounds the command to release a copy. Without the command, the engine drops
+// releaseTimeout bounds the command to release a copy. Without the command, the engine drops
 // the copy after a few seconds.
-const releaseWithin = time.Second
+const releaseTimeout = time.Second
 
 // release tells an engine to drop a copy that will not be used, which occupies memory and a
 // slot there. If the engine's incarnation has ended, the copy is gone and nothing is sent: the
 // next incarnation may hold another copy under the same handle.
 func (g *Gateway) release(callID string, held heldCopy) {
-	if !g.there(held.at.ID) {
+	if !g.incarnationKnown(held.at.ID) {
 		return
 	}
 	g.met.moved("released")
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), releaseWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		a, err := g.exchange(ctx, held.at, g.proto.Release(held.copy.Handle))
 		if err != nil {
@@ -284,35 +284,35 @@
 			return
 		}
 		defer a.Close()
-		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxOrderAnswer)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(a, maxCommandAnswer)); err != nil {
 			g.rec.Note(events.CopyNotReleased, callID, "at", held.at.ID, "error", err)
 		}
 	}()
 }
 
-// there reports whether an incarnation of an upstream (the time from one start of its process
-// to the next) is not known to have ended. All that an ended incarnation ran and held is lost,
-// and the next one may have its address.
-func (g *Gateway) there(upstream string) bool {
+// incarnationKnown reports whether an incarnation of an upstream (one run of its process, from one
+// start to the next) is not known to have ended. All that an ended incarnation ran and held is
+// lost, and the next one may have its address.
+func (g *Gateway) incarnationKnown(upstream string) bool {
 	_, ok := g.fleet.Get(upstream)
 	return ok
 }
 
-// orderCopy sends a copy command and waits for its result, even if the request ends
+// sendCopyCommand sends a copy command and waits for its result, even if the request ends
 // meanwhile: only the answer names the copy, and a copy that cannot be released occupies
 // memory of its target for about 7 s. When a sixth of the engines leave every 3.3 s, such
 // copies occupy 0.36 to 0.56 million token-seconds of an engine pool of 21 million. With stop
 // set, the command also stops the generation.
-func (g *Gateway) orderCopy(s *stream, from, target fleet.Upstream, stop bool) protocol.CopyResult {
-	ctx, cancel := context.WithTimeout(context.Background(), copyWithin)
+func (g *Gateway) sendCopyCommand(s *stream, from, target fleet.Upstream, stop bool) protocol.CopyResult {
+	ctx, cancel := context.WithTimeout(context.Background(), copyTimeout)
 	defer cancel()
 	for {
-		if !g.there(from.ID) {
+		if !g.incarnationKnown(from.ID) {
 			// The generation was lost with its engine's incarnation. The next incarnation
 			// may run it again and must not be told to stop it.
 			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
 		}
-		r, err := g.order(ctx, from, g.proto.Copy(s.rq.call.ID, target.Address, stop))
+		r, err := g.sendCommand(ctx, from, g.proto.Copy(s.rq.call.ID, target.Address, stop))
 		if s.rq.caller.Err() != nil && (err != nil || r.Outcome != protocol.Copied) {
 			// The generation ends with its request.
 			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
@@ -327,25 +327,25 @@
 		select {
 		case <-ctx.Done():
 			return r
-		case <-time.After(orderPause):
+		case <-time.After(copyRetryInterval):
 		}
 	}
 }
 
-var errOrderAnswer = errors.New("answer to a copy command is too long")
+var errCommandAnswerTooLong = errors.New("answer to a copy command is too long")
 
-func (g *Gateway) order(ctx context.Context, at fleet.Upstream, req link.Request) (protocol.CopyResult, error) {
+func (g *Gateway) sendCommand(ctx context.Context, at fleet.Upstream, req link.Request) (protocol.CopyResult, error) {
 	a, err := g.exchange(ctx, at, req)
 	if err != nil {
 		return protocol.CopyResult{}, err
 	}
 	defer a.Close()
-	body, err := io.ReadAll(io.LimitReader(a, maxOrderAnswer))
+	body, err := io.ReadAll(io.LimitReader(a, maxCommandAnswer))
 	if err != nil {
 		return protocol.CopyResult{}, err
 	}
-	if len(body) == maxOrderAnswer {
-		return protocol.CopyResult{}, errOrderAnswer
+	if len(body) == maxCommandAnswer {
+		return protocol.CopyResult{}, errCommandAnswerTooLong
 	}
 	return g.proto.CopyResult(a.Status, body), nil
 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -19,24 +19,24 @@
 		return nil, err
 	}
 	if n := g.proto.Notice(a.Status, a.Header, g.now()); n != (protocol.Notice{}) {
-		g.heardNotice(req.ID, to, n)
+		g.applyNotice(req.ID, to, n)
 	}
 	if req.ID == "" {
-		// For a caller's request, heardLimit applies the limit once the answer is known to
+		// For a caller's request, applyLimit applies the limit once the answer is known to
 		// belong to that request.
-		g.heardLimitNamed("", to, a.Header)
+		g.applyStatedLimit("", to, a.Header)
 	}
 	return a, nil
 }
 
-// heardNotice applies the notice in an answer of an upstream. callID is the ID of the
+// applyNotice applies the notice in an answer of an upstream. callID is the ID of the
 // caller's request; it is empty for the answer to a query or command of this entry.
-func (g *Gateway) heardNotice(callID string, from fleet.Upstream, n protocol.Notice) {
+func (g *Gateway) applyNotice(callID string, from fleet.Upstream, n protocol.Notice) {
 	u, known := g.fleet.Get(from.ID)
 	g.rec.Note(events.UpstreamNotice, callID, "upstream", from.ID, "leaving", n.Leaving, "back-off", max(n.BackOffUntil.Sub(g.now()), 0), "known", !known || u.State() == fleet.Leaving)
 	if n.Leaving && g.fleet.AnsweredLeaving(from.ID) {
-		// The other entries send requests to the upstream until gossip tells them.
-		g.others.Urge()
+		// The other entries send requests to the upstream until gossip delivers the notice.
+		g.peers.Urge()
 	}
 	if !n.BackOffUntil.IsZero() {
 		g.fleet.BackOff(from.ID, n.BackOffUntil)
@@ -48,8 +48,8 @@
 	return !g.proto.Notice(status, header, g.now()).BackOffUntil.IsZero()
 }
 
-// takesWork reports whether an upstream is known, not leaving and not in back-off.
-func (g *Gateway) takesWork(id string) bool {
+// acceptsRequests reports whether an upstream is known, not leaving and not in back-off.
+func (g *Gateway) acceptsRequests(id string) bool {
 	u, known := g.fleet.Get(id)
 	return known && u.State() != fleet.Leaving && !u.InBackOff(g.now())
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -14,9 +14,9 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// answeringAs returns a handler that sets headers, given as name and value pairs, and then calls
+// withHeaders returns a handler that sets headers, given as name and value pairs, and then calls
 // serve.
-func answeringAs(serve http.HandlerFunc, header ...string) http.HandlerFunc {
+func withHeaders(serve http.HandlerFunc, header ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for i := 0; i+1 < len(header); i += 2 {
 			w.Header().Set(header[i], header[i+1])
@@ -25,8 +25,8 @@
 	}
 }
 
-// serveUnable answers with 503 and does not state whether the request ran.
-func serveUnable(w http.ResponseWriter, _ *http.Request) {
+// serveUnavailable answers with 503 and does not state whether the request ran.
+func serveUnavailable(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
@@ -51,7 +51,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			leaving := f.add("app", "leaving", answeringAs(tc.answer, testLeaving, "1"))
+			leaving := f.add("app", "leaving", withHeaders(tc.answer, testLeaving, "1"))
 			f.add("app", "staying", serveOK)
 			for leaving.runs() == 0 {
 				f.ask(tc.path)
@@ -73,8 +73,8 @@
 // generations, although that answer ends seconds later.
 func TestEngineThatAnnouncesLeavingGetsNoGenerations(t *testing.T) {
 	f := newFixture(t)
-	leaving := &engine{stopped: make(chan struct{}), pace: 20 * time.Millisecond, copies: []protocol.CopyResult{{Outcome: protocol.NoRoom}}}
-	leaving.upstream = f.add("llm", "leaving", answeringAs(leaving.serve, testLeaving, "1"))
+	leaving := &engine{stopped: make(chan struct{}), eventInterval: 20 * time.Millisecond, copies: []protocol.CopyResult{{Outcome: protocol.NoRoom}}}
+	leaving.upstream = f.add("llm", "leaving", withHeaders(leaving.serve, testLeaving, "1"))
 	f.addEngine("staying")
 	done := make(chan struct{})
 	go func() {
@@ -109,7 +109,7 @@
 		answer http.HandlerFunc
 	}{
 		{"in a refusal", serveNotRun},
-		{"in a 503 that does not state whether the request ran", serveUnable},
+		{"in a 503 that does not state whether the request ran", serveUnavailable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -117,7 +117,7 @@
 			var requests atomic.Int64
 			backedOff := f.add("app", "backed-off", func(w http.ResponseWriter, r *http.Request) {
 				if requests.Add(1) == 1 {
-					answeringAs(tc.answer, testBack, "2600")(w, r)
+					withHeaders(tc.answer, testRetryMs, "2600")(w, r)
 					return
 				}
 				serveOK(w, r)
@@ -153,7 +153,7 @@
 	f := newFixture(t)
 	var upstreams []*upstream
 	for _, u := range []struct{ id, back string }{{"a", "1500"}, {"b", "2500"}} {
-		upstreams = append(upstreams, f.add("app", u.id, answeringAs(serveNotRun, testBack, u.back)))
+		upstreams = append(upstreams, f.add("app", u.id, withHeaders(serveNotRun, testRetryMs, u.back)))
 	}
 	first := time.Now()
 	for upstreams[0].runs() == 0 || upstreams[1].runs() == 0 {
@@ -166,7 +166,7 @@
 		if took := time.Since(begun); got.status != http.StatusServiceUnavailable || took > 100*time.Millisecond {
 			t.Fatalf("status %d after %s, want 503 within 100 ms", got.status, took)
 		}
-		ms, err := strconv.Atoi(got.header.Get(testBack))
+		ms, err := strconv.Atoi(got.header.Get(testRetryMs))
 		back := begun.Add(time.Duration(ms) * time.Millisecond)
 		// The header states whole milliseconds, rounded down.
 		if least, most := first.Add(1500*time.Millisecond), asked.Add(1600*time.Millisecond+placement.ReturnWithin); err != nil || back.Before(least.Add(-100*time.Millisecond)) || back.After(most) {
@@ -210,7 +210,7 @@
 	}{{"with another engine", true, http.StatusOK}, {"as the only engine", false, http.StatusServiceUnavailable}} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			backedOff := f.add("llm", "backed-off", answeringAs(serveNotRun, testBack, "1500"))
+			backedOff := f.add("llm", "backed-off", withHeaders(serveNotRun, testRetryMs, "1500"))
 			if tc.other {
 				f.addEngine("working")
 			}
@@ -224,8 +224,8 @@
 				if got.status != tc.want {
 					t.Fatalf("status %d, want %d", got.status, tc.want)
 				}
-				if took := time.Since(begun); !tc.other && (took > 100*time.Millisecond || got.header.Get(testBack) == "") {
-					t.Fatalf("refused after %s with retry delay %q, want within 100 ms and with a delay", took, got.header.Get(testBack))
+				if took := time.Since(begun); !tc.other && (took > 100*time.Millisecond || got.header.Get(testRetryMs) == "") {
+					t.Fatalf("refused after %s with retry delay %q, want within 100 ms and with a delay", took, got.header.Get(testRetryMs))
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -239,7 +239,7 @@
 // The hedge of a slow request must not go to an upstream in back-off.
 func TestUpstreamInBackOffGetsNoHedge(t *testing.T) {
 	f := newFixture(t)
-	backedOff := f.add("app", "backed-off", answeringAs(serveNotRun, testBack, "2000"))
+	backedOff := f.add("app", "backed-off", withHeaders(serveNotRun, testRetryMs, "2000"))
 	for backedOff.runs() == 0 {
 		f.ask(pathSafe)
 	}
@@ -269,7 +269,7 @@
 			<-held
 			serveOK(w, r)
 		case 2:
-			answeringAs(serveNotRun, testBack, "2000")(w, r)
+			withHeaders(serveNotRun, testRetryMs, "2000")(w, r)
 		default:
 			serveOK(w, r)
 		}
@@ -293,7 +293,7 @@
 // The rate limit and the leaving notice in an engine's answer to a release command must be applied.
 func TestNoticesInAnswerToReleaseAreApplied(t *testing.T) {
 	f := newFixture(t)
-	f.add("llm", "engine", answeringAs(func(http.ResponseWriter, *http.Request) {}, testLimit, "2", testLeaving, "1"))
+	f.add("llm", "engine", withHeaders(func(http.ResponseWriter, *http.Request) {}, testLimit, "2", testLeaving, "1"))
 	u, _ := f.fleet.Get("engine")
 	f.gateway.release("r", heldCopy{copy: protocol.Copy{Handle: "h"}, at: u})
 	for begun := time.Now(); !f.gateway.limits.Any() || len(f.fleet.KnownLeaving()) == 0; time.Sleep(time.Millisecond) {
@@ -320,8 +320,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			secondBegun := make(chan struct{}, 2)
-			// The upstream that gets the first attempt answers after the second attempt has begun. The
-			// other upstream asks for back-off a little later.
+			// The upstream that gets the first attempt answers after the second attempt has begun.
+			// The other upstream asks for back-off a little later.
 			var first atomic.Bool
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				if !first.Swap(true) {
@@ -332,7 +332,7 @@
 				}
 				secondBegun <- struct{}{}
 				time.Sleep(25 * time.Millisecond)
-				answeringAs(serveNotRun, testBack, "2000")(w, r)
+				withHeaders(serveNotRun, testRetryMs, "2000")(w, r)
 			}
 			f.add("app", "a", serve)
 			f.add("app", "b", serve)
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -23,35 +23,35 @@
 	// permitShare is the fraction of a route's objective that a request may wait for a permit
 	// if no other upstream can take it. The answer still comes within the objective.
 	permitShare = 0.25
-	// permitPause is the minimum wait before a permit is requested again.
-	permitPause = time.Millisecond
+	// minPermitWait is the minimum wait before a permit is requested again.
+	minPermitWait = time.Millisecond
 )
 
 // chooser returns the upstream for a request, none of those in exclude. The error states why
 // there is none.
 type chooser func(exclude map[string]bool) (fleet.Upstream, error)
 
-// permitted returns the upstream that choose returns, with a permit to send one request to it.
-// Upstreams that have reached their rate limit or are in back-off are skipped: they do not count
-// as failing, and they should not receive requests that they would refuse. If no other upstream
-// can take the request, permitted waits for one of these, at most until the given time; a zero
-// time is for a request that cannot wait. The error is that of choose, or errLimited.
-func (g *Gateway) permitted(ctx context.Context, service string, exclude map[string]bool, until time.Time, choose chooser) (fleet.Upstream, error) {
+// chooseWithPermit returns the upstream that choose returns, with a permit to send one request to
+// it. Upstreams that have reached their rate limit or are in back-off are skipped: they do not
+// count as failing, and they should not receive requests that they would refuse. If no other
+// upstream can take the request, chooseWithPermit waits for one of these, at most until the given
+// time; a zero time is for a request that cannot wait. The error is that of choose, or errLimited.
+func (g *Gateway) chooseWithPermit(ctx context.Context, service string, exclude map[string]bool, until time.Time, choose chooser) (fleet.Upstream, error) {
 	for {
-		u, err := g.permittedNow(ctx, service, exclude, choose)
+		u, err := g.tryChooseWithPermit(ctx, service, exclude, choose)
 		if !errors.Is(err, errLimited) {
 			return u, err
 		}
-		at := g.opensAt(service, exclude)
+		at := g.nextOpening(service, exclude)
 		if at.After(until) || !g.sleepUntil(ctx, at) {
 			return fleet.Upstream{}, err
 		}
 	}
 }
 
-// permittedNow is permitted without the wait; it still waits for the answer of the entry that
-// grants permits.
-func (g *Gateway) permittedNow(ctx context.Context, service string, exclude map[string]bool, choose chooser) (fleet.Upstream, error) {
+// tryChooseWithPermit is chooseWithPermit without the wait for an upstream. It still waits for the
+// answer of the entry that grants permits.
+func (g *Gateway) tryChooseWithPermit(ctx context.Context, service string, exclude map[string]bool, choose chooser) (fleet.Upstream, error) {
 	if !g.limits.Any() {
 		u, err := choose(exclude)
 		if err != nil && g.allInBackOff(service, exclude) {
@@ -74,7 +74,7 @@
 		err = g.limits.Take(ctx, u.ID)
 		g.met.permitted(err)
 		switch {
-		case err == nil && g.takesWork(u.ID):
+		case err == nil && g.acceptsRequests(u.ID):
 			return u, nil
 		case ctx.Err() != nil:
 			return fleet.Upstream{}, ctx.Err()
@@ -83,10 +83,10 @@
 	}
 }
 
-// await waits for a permit for one upstream and for the end of its back-off, at most until the
-// given time. No other upstream can take the request, so await may use the one request that each
-// back-off allows.
-func (g *Gateway) await(ctx context.Context, upstream string, until time.Time) error {
+// awaitPermit waits for a permit for one upstream and for the end of its back-off, at most until
+// the given time. No other upstream can take the request, so awaitPermit may use the one request
+// that each back-off allows.
+func (g *Gateway) awaitPermit(ctx context.Context, upstream string, until time.Time) error {
 	for !g.fleet.TakeDuringBackOff(upstream) {
 		u, known := g.fleet.Get(upstream)
 		if !known || u.BackOffUntil().After(until) || !g.sleepUntil(ctx, u.BackOffUntil()) {
@@ -104,15 +104,15 @@
 	}
 }
 
-// waitsUntil returns the time until which a request may wait for a permit.
-func (rq *request) waitsUntil() time.Time {
+// permitDeadline returns the time until which a request may wait for a permit.
+func (rq *request) permitDeadline() time.Time {
 	return rq.start.Add(time.Duration(permitShare * float64(rq.route.Objective)))
 }
 
-// sleepUntil waits until a time, and for permitPause at least. It returns false if ctx ends
+// sleepUntil waits until a time, and for minPermitWait at least. It returns false if ctx ends
 // first.
 func (g *Gateway) sleepUntil(ctx context.Context, at time.Time) bool {
-	t := time.NewTimer(max(at.Sub(g.now()), permitPause))
+	t := time.NewTimer(max(at.Sub(g.now()), minPermitWait))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -154,9 +154,9 @@
 	return found
 }
 
-// opensAt returns the earliest time at which an upstream of a service takes a request again, among
-// those that are limited or in back-off and not excluded. It is zero if there is none.
-func (g *Gateway) opensAt(service string, exclude map[string]bool) time.Time {
+// nextOpening returns the earliest time at which an upstream of a service takes a request again,
+// among those that are limited or in back-off and not excluded. It is zero if there is none.
+func (g *Gateway) nextOpening(service string, exclude map[string]bool) time.Time {
 	var earliest time.Time
 	for _, u := range g.fleet.Of(service) {
 		at := g.limits.OpensAt(u.ID)
@@ -170,20 +170,20 @@
 	return earliest
 }
 
-// backAfterLimit returns the retry delay for a caller whose request no upstream takes now. It lasts
-// at least until an upstream takes requests, and grows with the number of refused callers.
-func (g *Gateway) backAfterLimit(rq *request) time.Duration {
-	overload := g.backAfterOverload(rq)
-	opens := g.opensAt(rq.service.Name, nil)
+// retryDelayAfterLimit returns the retry delay for a caller whose request no upstream takes now. It
+// lasts at least until an upstream takes requests, and grows with the number of refused callers.
+func (g *Gateway) retryDelayAfterLimit(rq *request) time.Duration {
+	overload := g.retryDelayAfterOverload(rq)
+	opens := g.nextOpening(rq.service.Name, nil)
 	if g.allInBackOff(rq.service.Name, nil) {
-		return g.returns.At(rq.service.Name, opens).Sub(g.now())
+		return g.retryTimes.At(rq.service.Name, opens).Sub(g.now())
 	}
 	return max(opens.Sub(g.now()), overload)
 }
 
-// unlimited returns exclude with all upstreams added that state a rate limit. It is for hedges and
-// for requests that cannot wait for a permit.
-func (g *Gateway) unlimited(exclude map[string]bool) map[string]bool {
+// excludeLimited returns exclude with all upstreams added that state a rate limit. It is for hedges
+// and for requests that cannot wait for a permit.
+func (g *Gateway) excludeLimited(exclude map[string]bool) map[string]bool {
 	if !g.limits.Any() {
 		return exclude
 	}
@@ -192,15 +192,15 @@
 
 // admit chooses the engine for a new generation and takes a permit for it.
 func (s *stream) admit(ctx context.Context, exclude map[string]bool) (fleet.Upstream, error) {
-	return s.g.permitted(ctx, s.rq.service.Name, exclude, s.rq.waitsUntil(), func(exclude map[string]bool) (fleet.Upstream, error) {
+	return s.g.chooseWithPermit(ctx, s.rq.service.Name, exclude, s.rq.permitDeadline(), func(exclude map[string]bool) (fleet.Upstream, error) {
 		return s.g.admitEngine(s, exclude)
 	})
 }
 
-// goOnAt chooses an engine for the rest of an answer and takes a permit for it. It may wait longer
-// than admit because the caller already has the beginning of the answer.
-func (s *stream) goOnAt(ctx context.Context, exclude map[string]bool) (fleet.Upstream, error) {
-	return s.g.permitted(ctx, s.rq.service.Name, exclude, s.g.now().Add(goOnWithin), func(exclude map[string]bool) (fleet.Upstream, error) {
+// admitResumed chooses an engine for the rest of an answer and takes a permit for it. It may wait
+// longer than admit because the caller already has the beginning of the answer.
+func (s *stream) admitResumed(ctx context.Context, exclude map[string]bool) (fleet.Upstream, error) {
+	return s.g.chooseWithPermit(ctx, s.rq.service.Name, exclude, s.g.now().Add(resumeWait), func(exclude map[string]bool) (fleet.Upstream, error) {
 		u, ok := s.g.chooseEngine(s, exclude)
 		if !ok {
 			return fleet.Upstream{}, placement.ErrNone
@@ -222,10 +222,10 @@
 
 // The results of permit requests, as metrics label them.
 const (
-	permitGranted  = "granted"
-	permitReached  = "limit reached"
-	permitNoAnswer = "no answer"
-	permitLeft     = "caller left"
+	permitGranted      = "granted"
+	permitReached      = "limit reached"
+	permitNoAnswer     = "no answer"
+	permitCallerClosed = "caller left"
 )
 
 // permitResult returns the metrics label for an error of limits.Set.Take.
@@ -238,6 +238,6 @@
 	case errors.Is(err, limits.ErrNoAnswer):
 		return permitNoAnswer
 	default:
-		return permitLeft
+		return permitCallerClosed
 	}
 }
--- a/internal/gateway/prefixes_test.go
+++ b/internal/gateway/prefixes_test.go
@@ -9,8 +9,8 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// TestPrefixesKept covers how much of a prompt an engine is expected to have cached.
-func TestPrefixesKept(t *testing.T) {
+// TestCachedTokensOfPrefixes covers how much of a prompt an engine is expected to have cached.
+func TestCachedTokensOfPrefixes(t *testing.T) {
 	parts := []protocol.PromptPart{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}}
 	start := time.Now()
 	for _, tc := range []struct {
@@ -29,7 +29,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPrefixes()
 			p.note(tc.engine, tc.sent, start)
-			if got := p.kept("e", parts, start.Add(tc.after)); got != tc.want {
+			if got := p.cachedTokens("e", parts, start.Add(tc.after)); got != tc.want {
 				t.Errorf("%d tokens kept, want %d", got, tc.want)
 			}
 		})
@@ -40,19 +40,19 @@
 // engines that are gone must be forgotten.
 func TestPrefixesAreBounded(t *testing.T) {
 	p := newPrefixes()
-	for i := range 10 * mostPrefixes {
+	for i := range 10 * maxPrefixes {
 		p.note("e", []protocol.PromptPart{{ID: strconv.Itoa(i), Tokens: 1}}, time.Now())
 	}
-	if n := len(p.used["e"]); n > mostPrefixes {
-		t.Errorf("%d parts recorded, want at most %d", n, mostPrefixes)
+	if n := len(p.lastSent["e"]); n > maxPrefixes {
+		t.Errorf("%d parts recorded, want at most %d", n, maxPrefixes)
 	}
-	p.forget(func(string) bool { return true }, time.Now().Add(2*prefixKept))
-	if len(p.used) != 0 {
+	p.sweep(func(string) bool { return true }, time.Now().Add(2*prefixTTL))
+	if len(p.lastSent) != 0 {
 		t.Error("parts are recorded for longer than engines are expected to cache them")
 	}
 	p.note("e", []protocol.PromptPart{{ID: "a", Tokens: 1}}, time.Now())
-	p.forget(func(string) bool { return false }, time.Now())
-	if len(p.used) != 0 {
+	p.sweep(func(string) bool { return false }, time.Now())
+	if len(p.lastSent) != 0 {
 		t.Error("an engine that is gone is still recorded")
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -21,81 +21,81 @@
 	for {
 		b, err := r.next()
 		if err != nil {
-			return s.broke(ctx, st, answer, b, err)
+			return s.answerEnded(ctx, st, answer, b, err)
 		}
 		id, n := lastEventID(b)
 		if first {
 			started()
-			s.firstEvent(st, answer, sent)
+			s.recordFirstEvent(st, answer, sent)
 			if st.from == nil {
-				g.reading.note(g.now().Sub(sent), s.toRead)
+				g.readTime.note(g.now().Sub(sent), s.unreadTokens)
 			}
 			first = false
 			if answer.Closing() {
-				go g.inquire(ctx, st.at, "it closes its connection")
+				go g.queryIfDue(ctx, st.at, "it closes its connection")
 			}
 		}
-		if err := s.pass(b); err != nil {
-			g.gone(s.rq, "getting events", err)
+		if err := s.writeEvents(b); err != nil {
+			g.callerGone(s.rq, "getting events", err)
 			panic(http.ErrAbortHandler)
 		}
 		s.advance(id, n)
-		s.notePause()
-		if s.firstIn > 0 && s.lastAt.Sub(s.rq.start) > s.firstIn+trialLasts {
+		s.recordPause()
+		if s.timeToFirstEvent > 0 && s.lastAt.Sub(s.rq.start) > s.timeToFirstEvent+suspectBlockTime {
 			s.rq.run.Steady()
 		}
 	}
 }
 
-// pass writes complete events to the caller.
-func (s *stream) pass(b []byte) error {
+// writeEvents writes complete events to the caller.
+func (s *stream) writeEvents(b []byte) error {
 	if _, err := s.rq.w.Write(b); err != nil {
 		return err
 	}
 	return s.flush()
 }
 
-// notePause records the longest pause between events.
-func (s *stream) notePause() {
+// recordPause updates the longest pause between two events.
+func (s *stream) recordPause() {
 	now := s.g.now()
-	if !s.lastAt.IsZero() && now.Sub(s.lastAt) > s.pausedFor {
-		s.pausedFor, s.pausedAt = now.Sub(s.lastAt), s.events
+	if !s.lastAt.IsZero() && now.Sub(s.lastAt) > s.longestPause {
+		s.longestPause, s.longestPauseAt = now.Sub(s.lastAt), s.events
 	}
 	s.lastAt = now
 }
 
-// firstEvent records the first event of an attempt. If it is also the first one of the stream,
-// firstEvent sends the head of the answer to the caller.
-func (s *stream) firstEvent(st step, answer *link.Answer, sent time.Time) {
+// recordFirstEvent records the first event of an attempt. If that is the first event of the stream,
+// recordFirstEvent also sends the head of the answer to the caller.
+func (s *stream) recordFirstEvent(st step, answer *link.Answer, sent time.Time) {
 	g, now := s.g, s.g.now()
 	g.fleet.Note(st.at.ID, fleet.Served)
 	if st.from != nil {
 		s.mu.Lock()
 		s.handover, s.copies = nil, nil
 		s.mu.Unlock()
-		g.met.paused(now.Sub(sent))
+		g.met.observeMoveGap(now.Sub(sent))
 		g.rec.Note(events.StreamMoved, s.rq.call.ID, "to", st.at.ID, "after-event", s.lastEvent, "gap", now.Sub(sent))
 	}
-	if s.began {
+	if s.headSent {
 		return
 	}
-	s.began = true
+	s.headSent = true
 	g.proto.PassHeader(answer.Header, s.rq.w.Header())
 	s.rq.w.WriteHeader(answer.Status)
-	s.firstIn = now.Sub(s.rq.start)
-	g.met.began(s.firstIn)
+	s.timeToFirstEvent = now.Sub(s.rq.start)
+	g.met.observeFirstEvent(s.timeToFirstEvent)
 }
 
-// broke handles the end of an attempt's answer, which is complete or has broken off.
-func (s *stream) broke(ctx context.Context, st step, answer *link.Answer, rest []byte, err error) outcome {
-	if errors.Is(err, io.EOF) && answer.Framed && len(rest) == 0 && s.began {
+// answerEnded handles the end of an attempt's answer, which is complete or has broken off.
+func (s *stream) answerEnded(ctx context.Context, st step, answer *link.Answer, rest []byte, err error) outcome {
+	if errors.Is(err, io.EOF) && answer.Framed && len(rest) == 0 && s.headSent {
 		now := s.g.now()
 		s.rq.run.Served()
 		s.g.met.ended("stream")
-		s.g.pace.note(s.firstIn, now.Sub(s.rq.start), s.events)
-		s.g.rec.Note(events.RequestEnded, s.rq.call.ID, "status", answer.Status, "upstream", st.at.ID, "tries", s.rq.tries, "took", now.Sub(s.rq.start), "events", s.events,
-			"first-in", s.firstIn, "longest-pause", s.pausedFor, "pause-at", s.pausedAt)
-		return streamWhole
+		s.g.eventInterval.note(s.timeToFirstEvent, now.Sub(s.rq.start), s.events)
+		s.g.rec.Note(events.RequestEnded, s.rq.call.ID, "status", answer.Status, "upstream", st.at.ID, "tries", s.rq.attempts, "took", now.Sub(s.rq.start), "events", s.events,
+			"first-in", s.timeToFirstEvent, "longest-pause", s.longestPause, "pause-at", s.longestPauseAt)
+		return streamComplete
 	}
 	s.mu.Lock()
 	moving := s.handover != nil
@@ -103,7 +103,7 @@
 	if !moving {
 		if ctx.Err() == nil {
 			s.g.fleet.Note(st.at.ID, fleet.Broken)
-			s.g.broke(s.rq, st.at, err)
+			s.g.recordBrokenAnswer(s.rq, st.at, err)
 		}
 		s.g.rec.Note(events.AnswerRejected, s.rq.call.ID, "upstream", st.at.ID, "error", err, "after-event", s.lastEvent, "events", s.events, "framed", answer.Framed, "rest", strconv.Itoa(len(rest)))
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -21,15 +21,15 @@
 
 // request is a caller's request that is being served.
 type request struct {
-	call    protocol.Call
-	body    []byte
-	table   *routetable.Table
-	age     time.Duration
-	route   *routetable.Route
-	service *routetable.Service
-	account string
-	// fingerprint is the same each time the caller sends the request. run is its record
-	// in the quarantine of requests that crash upstreams.
+	call     protocol.Call
+	body     []byte
+	table    *routetable.Table
+	tableAge time.Duration
+	route    *routetable.Route
+	service  *routetable.Service
+	account  string
+	// fingerprint is the same each time the caller sends the request. run tracks this request in
+	// the quarantine of requests that crash upstreams.
 	fingerprint quarantine.Fingerprint
 	run         *quarantine.Run
 	start       time.Time
@@ -41,47 +41,47 @@
 	conn *connlimit.Conn
 	w    http.ResponseWriter
 	// sent is set once an upstream may have received the request.
-	sent  bool
-	tries int
+	sent     bool
+	attempts int
 }
 
 // The retry delays for refused callers, and the durations that are assumed for requests.
 const (
-	// backUnready is the retry delay of an entry without routes that it may trust; another
+	// unreadyRetryDelay is the retry delay of an entry without routes that it may trust; another
 	// entry can serve at once.
-	backUnready = 300 * time.Millisecond
-	// backNoUpstream is about the time until a new upstream appears.
-	backNoUpstream = 500 * time.Millisecond
-	// backBusy is about the time in which a busy upstream completes a few requests.
-	backBusy = 250 * time.Millisecond
-	// plainTime suffices for nearly all calls to plain services.
-	plainTime = 500 * time.Millisecond
-	// defaultStart is the time within which a generation is expected to begin on a route
+	unreadyRetryDelay = 300 * time.Millisecond
+	// noUpstreamRetryDelay is about the time until a new upstream appears.
+	noUpstreamRetryDelay = 500 * time.Millisecond
+	// busyRetryDelay is about the time in which a busy upstream completes a few requests.
+	busyRetryDelay = 250 * time.Millisecond
+	// plainCallTime suffices for nearly all calls to plain services.
+	plainCallTime = 500 * time.Millisecond
+	// defaultStartTimeout is the time within which a generation is expected to begin on a route
 	// without an objective.
-	defaultStart = 5 * time.Second
+	defaultStartTimeout = 5 * time.Second
 	// defaultTimeout is the time limit of requests if neither they nor their route state one.
 	defaultTimeout = time.Minute
 )
 
 // ServeHTTP serves one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.enter()
-	defer g.leave()
+	g.beginRequest()
+	defer g.endRequest()
 	now := g.now()
 	rq := &request{call: g.proto.Decode(r, now), start: now, caller: r.Context(), conn: connlimit.From(r.Context()), w: w}
 	rq.conn.Begin(rq.call.ID)
-	defer g.recovered(rq)
+	defer g.recoverPanic(rq)
 	if !g.StopBy().IsZero() {
 		w.Header().Set("Connection", "close")
 	}
-	if !g.admit(rq, r) {
+	if !g.prepareRequest(rq, r) {
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), rq.deadline)
 	defer cancel()
 	ctx, release := g.untilStop(ctx)
 	defer release()
-	if !g.enterRun(ctx, rq) {
+	if !g.checkQuarantine(ctx, rq) {
 		return
 	}
 	defer rq.run.Leave()
@@ -93,13 +93,13 @@
 	g.serveCall(ctx, rq)
 }
 
-// mostStack bounds in bytes the stack trace in a log line; it holds about twenty calls.
-const mostStack = 4 << 10
+// maxStackBytes bounds in bytes the stack trace in a log line; it holds about twenty calls.
+const maxStackBytes = 4 << 10
 
-// recovered handles a panic of the handler. It logs the panic and, if no part of an answer has
+// recoverPanic handles a panic of the handler. It logs the panic and, if no part of an answer has
 // been sent, refuses the request with a status that allows that it has run. Otherwise it panics
 // again, and net/http ends the connection.
-func (g *Gateway) recovered(rq *request) {
+func (g *Gateway) recoverPanic(rq *request) {
 	v := recover()
 	if v == nil {
 		return
@@ -107,7 +107,7 @@
 	if err, ok := v.(error); ok && errors.Is(err, http.ErrAbortHandler) {
 		panic(v)
 	}
-	g.notePanic(rq, v)
+	g.logPanic(rq, v)
 	if connlimit.Begun(rq.w) {
 		panic(v)
 	}
@@ -115,34 +115,34 @@
 	g.proto.Refuse(rq.w, &rq.call, protocol.Refusal{Status: http.StatusBadGateway, Reason: "a fault of this entry"}, g.now())
 }
 
-// notePanic logs a panic with its stack.
-func (g *Gateway) notePanic(rq *request, v any) {
+// logPanic logs a panic with its stack.
+func (g *Gateway) logPanic(rq *request, v any) {
 	stack := debug.Stack()
 	g.met.unanswered(unansweredPanic)
-	g.rec.Note(events.HandlerPanicked, rq.call.ID, "panic", v, "stack", string(stack[:min(len(stack), mostStack)]))
+	g.rec.Note(events.HandlerPanicked, rq.call.ID, "panic", v, "stack", string(stack[:min(len(stack), maxStackBytes)]))
 }
 
-// gone records that a caller's connection ended; while states what was being done.
-func (g *Gateway) gone(rq *request, while string, err error) {
-	cause := unansweredLeft
+// callerGone records that a caller's connection ended; while states what was being done.
+func (g *Gateway) callerGone(rq *request, while string, err error) {
+	cause := unansweredCallerClosed
 	if rq.conn.EndedHere() != "" {
-		cause = unansweredEnded
+		cause = unansweredClosedHere
 	}
 	g.met.unanswered(cause)
 	g.rec.Note(events.CallerGone, rq.call.ID, "while", while, "caller", rq.conn.Caller(), "ended-here", rq.conn.EndedHere(), "sent", rq.sent, "after", g.now().Sub(rq.start), "error", err)
 }
 
-// admit determines the route, account and service of a request and reads its body. If the
-// request cannot be served, admit answers it and returns false.
-func (g *Gateway) admit(rq *request, r *http.Request) bool {
+// prepareRequest determines the route, account and service of a request and reads its body. If the
+// request cannot be served, prepareRequest answers it and returns false.
+func (g *Gateway) prepareRequest(rq *request, r *http.Request) bool {
 	trusted := g.routesTrusted()
 	var confirmed time.Time
 	rq.table, confirmed = g.routes.Current()
 	if rq.table == nil {
-		g.refuse(rq, http.StatusServiceUnavailable, "no routes are known yet", backUnready)
+		g.refuse(rq, http.StatusServiceUnavailable, "no routes are known yet", unreadyRetryDelay)
 		return false
 	}
-	rq.age = rq.start.Sub(confirmed)
+	rq.tableAge = rq.start.Sub(confirmed)
 	if maxBytes := rq.table.Limits().HeaderBytes; maxBytes > 0 && headerBytes(r) > maxBytes {
 		g.refuse(rq, http.StatusRequestHeaderFieldsTooLarge, "headers are too large", 0)
 		return false
@@ -151,7 +151,7 @@
 	route, ok := rq.table.Match(rq.call.Host, path)
 	switch {
 	case !ok && !trusted:
-		g.refuse(rq, http.StatusServiceUnavailable, "the routes are not confirmed", backUnready)
+		g.refuse(rq, http.StatusServiceUnavailable, "the routes are not confirmed", unreadyRetryDelay)
 		return false
 	case !ok:
 		g.refuse(rq, http.StatusNotFound, "no route", 0)
@@ -164,12 +164,12 @@
 	name := route.Pick(rand.Float64())
 	rq.service, ok = rq.table.Service(name)
 	if !ok {
-		g.refuse(rq, http.StatusServiceUnavailable, "route names an unknown service", backNoUpstream)
+		g.refuse(rq, http.StatusServiceUnavailable, "route names an unknown service", noUpstreamRetryDelay)
 		return false
 	}
 	rq.deadline = deadlineOf(rq)
-	if g.stopsBefore(g.lasts(rq)) {
-		g.refuse(rq, http.StatusServiceUnavailable, "this entry stops before the request would end", g.backAfterStop())
+	if g.stopsBefore(g.expectedDuration(rq)) {
+		g.refuse(rq, http.StatusServiceUnavailable, "this entry stops before the request would end", g.retryDelayAfterStop())
 		return false
 	}
 	return g.readBody(rq, r)
@@ -186,17 +186,17 @@
 	return n
 }
 
-// lasts returns the time that a request is assumed to take. A generation is assumed to reach
-// its maximum output: of those that a stopping entry accepted by the length that their callers
-// hinted at, one in six was cut.
-func (g *Gateway) lasts(rq *request) time.Duration {
+// expectedDuration returns the time that a request is assumed to take. A generation is assumed to
+// reach its maximum output: of those that a stopping entry accepted by the length that their
+// callers hinted at, one in six was cut.
+func (g *Gateway) expectedDuration(rq *request) time.Duration {
 	if rq.service.Engine == nil {
-		return plainTime
+		return plainCallTime
 	}
 	if rq.call.MaxOutput <= 0 {
 		return rq.deadline.Sub(rq.start)
 	}
-	return startWithin(rq.route) + g.pace.rest(rq.call.MaxOutput, rq.service.Engine.EventTokens)
+	return startTimeout(rq.route) + g.eventInterval.remaining(rq.call.MaxOutput, rq.service.Engine.EventTokens)
 }
 
 func deadlineOf(rq *request) time.Time {
@@ -220,7 +220,7 @@
 	}
 	account, ok := rq.table.AccountOf(rq.call.Key)
 	if !trusted && (!ok || g.settings.HardKeyBound) {
-		g.refuse(rq, http.StatusServiceUnavailable, "the keys are not confirmed", backUnready)
+		g.refuse(rq, http.StatusServiceUnavailable, "the keys are not confirmed", unreadyRetryDelay)
 		return false
 	}
 	if !ok {
@@ -241,7 +241,7 @@
 		g.refuse(rq, http.StatusRequestEntityTooLarge, "body is too large", 0)
 		return false
 	case err != nil:
-		g.gone(rq, "sending the body", err)
+		g.callerGone(rq, "sending the body", err)
 		panic(http.ErrAbortHandler)
 	}
 	rq.body = body
@@ -261,14 +261,14 @@
 	if rq.table != nil {
 		version = rq.table.Version()
 	}
-	g.rec.Note(events.RequestRefused, rq.call.ID, "status", status, "reason", reason, "fingerprint", rq.fingerprint, "routes", version, "routes-age", rq.age, "back-in", retryAfter, "after", now.Sub(rq.start), "sent", rq.sent)
+	g.rec.Note(events.RequestRefused, rq.call.ID, "status", status, "reason", reason, "fingerprint", rq.fingerprint, "routes", version, "routes-age", rq.tableAge, "back-in", retryAfter, "after", now.Sub(rq.start), "sent", rq.sent)
 	g.met.refused(status)
 	g.proto.Refuse(rq.w, &rq.call, refusal, now)
 }
 
-// reject refuses a generation that no engine takes. It has not run, which the status 503
+// refuseGeneration refuses a generation that no engine takes. It has not run, which the status 503
 // promises.
-func (g *Gateway) reject(ctx context.Context, rq *request, why error) {
+func (g *Gateway) refuseGeneration(ctx context.Context, rq *request, why error) {
 	var retryAfter time.Duration
 	switch {
 	case ctx.Err() != nil:
@@ -276,13 +276,13 @@
 		return
 	case errors.Is(why, placement.ErrTooLarge):
 	case rq.run.Isolation() == quarantine.Apart:
-		why, retryAfter = quarantine.ErrOnTrial, backTurn
+		why, retryAfter = quarantine.ErrOnTrial, suspectRetryDelay
 	case errors.Is(why, placement.ErrNone):
-		retryAfter = backNoUpstream
+		retryAfter = noUpstreamRetryDelay
 	case errors.Is(why, errLimited):
-		retryAfter = g.backAfterLimit(rq)
+		retryAfter = g.retryDelayAfterLimit(rq)
 	default:
-		retryAfter = g.backAfterOverload(rq)
+		retryAfter = g.retryDelayAfterOverload(rq)
 	}
 	g.refuse(rq, http.StatusServiceUnavailable, why.Error(), retryAfter)
 }
@@ -296,9 +296,9 @@
 	status, retryAfter := http.StatusBadGateway, time.Duration(0)
 	switch {
 	case !rq.sent && g.allInBackOff(rq.service.Name, nil):
-		status, retryAfter = http.StatusServiceUnavailable, g.backAfterLimit(rq)
+		status, retryAfter = http.StatusServiceUnavailable, g.retryDelayAfterLimit(rq)
 	case !rq.sent:
-		status, retryAfter = http.StatusServiceUnavailable, backBusy
+		status, retryAfter = http.StatusServiceUnavailable, busyRetryDelay
 	case ctx.Err() != nil:
 		status = http.StatusGatewayTimeout
 	}
@@ -306,12 +306,12 @@
 		g.refuse(rq, status, reason, retryAfter)
 		return
 	}
-	g.gone(rq, "waiting", rq.caller.Err())
+	g.callerGone(rq, "waiting", rq.caller.Err())
 	// A caller that closed only its sending side still waits for an answer.
 	g.proto.Refuse(rq.w, &rq.call, protocol.Refusal{Status: status, Reason: reason}, g.now())
 }
 
-// attempt returns the data that is sent to an upstream along with the request.
-func (rq *request) attempt(u fleet.Upstream) protocol.Attempt {
+// attemptFor returns the data that is sent to an upstream along with the request.
+func (rq *request) attemptFor(u fleet.Upstream) protocol.Attempt {
 	return protocol.Attempt{Upstream: u.Name, Account: rq.account, Deadline: rq.deadline}
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -37,7 +37,7 @@
 				}()
 				f.gateway.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/no-route/", nil))
 			}()
-			if f.noted(events.HandlerPanicked) != tc.logged {
+			if f.recorded(events.HandlerPanicked) != tc.logged {
 				t.Errorf("logged: %v", !tc.logged)
 			}
 		})
@@ -45,8 +45,7 @@
 }
 
 // A caller that closes only its sending side must get an answer. net/http cannot tell such a
-// caller from one that is gone until something is written, and an answer that nobody reads does
-// no harm.
+// caller from one that is gone until something is written, and an unread answer does no harm.
 func TestCallerThatOnlyStopsSendingGetsAnAnswer(t *testing.T) {
 	f := newFixture(t)
 	begun := make(chan struct{}, 1)
@@ -97,7 +96,7 @@
 			if got := f.ask(tc.path); got.status != http.StatusBadGateway {
 				t.Errorf("got %d, %v", got.status, got.err)
 			}
-			if !f.noted(events.HandlerPanicked) {
+			if !f.recorded(events.HandlerPanicked) {
 				t.Error("the panic is not logged")
 			}
 		})
--- a/internal/gateway/size.go
+++ b/internal/gateway/size.go
@@ -4,15 +4,16 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// need returns the size in tokens that the KV cache of the generation is expected to reach.
-func (s *stream) need() int {
+// expectedTokens returns the size in tokens that the KV cache of the generation is expected to
+// reach.
+func (s *stream) expectedTokens() int {
 	return s.rq.call.Prompt + expectedOutput(&s.rq.call)
 }
 
-// held returns the current size in tokens of the generation's KV cache at its engine, without
+// heldTokens returns the current size in tokens of the generation's KV cache at its engine, without
 // the parts that are shared with other generations. s.mu must be held.
-func (s *stream) held() int {
-	return s.rq.call.Prompt - s.kept + s.events*s.rq.service.Engine.EventTokens
+func (s *stream) heldTokens() int {
+	return s.rq.call.Prompt - s.cachedTokens + s.events*s.rq.service.Engine.EventTokens
 }
 
 // hintMargin scales up the output length that a caller hints at, which is too low in half of
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -11,9 +11,9 @@
 var errStopped = errors.New("this entry stopped")
 
 const (
-	// backStopping is the retry delay that a stopping entry states while another entry serves,
+	// stoppingRetryDelay is the retry delay that a stopping entry states while another entry serves,
 	// which can take the caller at once.
-	backStopping = 50 * time.Millisecond
+	stoppingRetryDelay = 50 * time.Millisecond
 	// restartTime is the time from when an entry gives up its last requests until the load
 	// balancer sends callers to its replacement: the start of the replacement, up to 1 s until
 	// the next readiness check, and a small margin.
@@ -37,11 +37,11 @@
 // flight are given up only at end, the later deadline, because a generation that is given up too
 // early is lost for nothing.
 func (g *Gateway) DrainUntil(last, end time.Time) {
-	g.noticedAt.Set(g.now().Add(NoticeTime))
-	g.stopBy.Set(last)
+	g.stopNoticedAt.Store(g.now().Add(NoticeTime))
+	g.stopBy.Store(last)
 	time.AfterFunc(end.Add(-AnswerSpare).Sub(g.now()), g.GiveUp)
 	g.limits.Leave()
-	g.others.Urge()
+	g.peers.Urge()
 }
 
 // GiveUp ends the requests in flight at the end of a planned stop; their callers get an answer.
@@ -60,7 +60,7 @@
 
 // StopBy returns the time by which requests have to end in a planned stop. It is zero if no stop
 // is in progress.
-func (g *Gateway) StopBy() time.Time { return g.stopBy.Get() }
+func (g *Gateway) StopBy() time.Time { return g.stopBy.Load() }
 
 // stopsBefore reports whether a planned stop would give up a request that takes d from now.
 func (g *Gateway) stopsBefore(d time.Duration) bool {
@@ -74,71 +74,72 @@
 	if g.inFlight.Load() > 0 {
 		return 0
 	}
-	return g.now().Sub(g.askedAt.Get())
+	return g.now().Sub(g.lastRequestAt.Load())
 }
 
-// enter counts a caller's request as in flight.
-func (g *Gateway) enter() {
+// beginRequest counts a caller's request as in flight.
+func (g *Gateway) beginRequest() {
 	g.inFlight.Add(1)
-	g.askedAt.Set(g.now())
+	g.lastRequestAt.Store(g.now())
 }
 
-// leave undoes enter when the request has ended.
-func (g *Gateway) leave() {
-	g.askedAt.Set(g.now())
+// endRequest undoes beginRequest when the request has ended.
+func (g *Gateway) endRequest() {
+	g.lastRequestAt.Store(g.now())
 	g.inFlight.Add(-1)
 }
 
 // plannedStops summarizes which entries serve and which stop, as far as gossip tells.
 type plannedStops struct {
-	// near is set if another entry of this zone serves, far if any other entry serves.
-	near, far bool
-	// nearStops is set if another entry of this zone stops.
-	nearStops bool
-	// first is the earliest time at which a stopping entry gives up its requests, and lastNear
-	// the latest such time in this zone. Both include this entry.
-	first, lastNear time.Time
+	// sameZoneServes is set if another entry of this zone serves, anyServes if any other
+	// entry serves.
+	sameZoneServes, anyServes bool
+	// sameZoneStops is set if another entry of this zone stops.
+	sameZoneStops bool
+	// firstStop is the earliest time at which a stopping entry gives up its requests, and
+	// lastSameZoneStop the latest such time in this zone. Both include this entry.
+	firstStop, lastSameZoneStop time.Time
 }
 
 // stops returns the planned stops of this entry and the others.
 func (g *Gateway) stops() plannedStops {
 	own := g.StopBy()
-	out := plannedStops{first: own, lastNear: own}
-	for _, p := range g.others.Heard() {
+	out := plannedStops{firstStop: own, lastSameZoneStop: own}
+	for _, p := range g.peers.Heard() {
 		stopBy, sameZone := p.State.StopBy, p.State.Zone == g.settings.Zone
 		switch {
 		case stopBy.IsZero() && p.State.Confirmed.IsZero():
 			// The entry has no routes yet and cannot serve.
 		case stopBy.IsZero():
-			out.near, out.far = out.near || sameZone, true
+			out.sameZoneServes, out.anyServes = out.sameZoneServes || sameZone, true
 		default:
-			out.nearStops = out.nearStops || sameZone
-			if stopBy.Before(out.first) {
-				out.first = stopBy
+			out.sameZoneStops = out.sameZoneStops || sameZone
+			if stopBy.Before(out.firstStop) {
+				out.firstStop = stopBy
 			}
-			if sameZone && stopBy.After(out.lastNear) {
-				out.lastNear = stopBy
+			if sameZone && stopBy.After(out.lastSameZoneStop) {
+				out.lastSameZoneStop = stopBy
 			}
 		}
 	}
 	return out
 }
 
-// backAfterStop returns the retry delay for a request that this stopping entry refuses: the time
-// after which another entry is expected to serve it. Callers retry once or twice, and for
-// NoticeTime the load balancer still sends them to stopping entries. If all entries of a zone
-// stop and callers retry at once, most of them use up their retries on these entries.
-func (g *Gateway) backAfterStop() time.Duration {
+// retryDelayAfterStop returns the retry delay for a request that this stopping entry refuses: the
+// time after which another entry is expected to serve it. Callers retry once or twice, and for
+// NoticeTime the load balancer still sends them to stopping entries. If all entries of a zone stop
+// and callers retry at once, most of them use up their retries on these entries.
+func (g *Gateway) retryDelayAfterStop() time.Duration {
 	s := g.stops()
 	switch {
-	case s.near || s.far && !s.nearStops:
-		return backStopping
-	case s.far:
+	case s.sameZoneServes || s.anyServes && !s.sameZoneStops:
+		return stoppingRetryDelay
+	case s.anyServes:
 		// The load balancer sends callers to other zones once it has noticed all stops in
 		// this zone.
-		noticed := g.noticedAt.Get().Add(s.lastNear.Sub(g.StopBy()))
-		return max(noticed.Sub(g.now()), backStopping)
+		noticed := g.stopNoticedAt.Load().Add(s.lastSameZoneStop.Sub(g.StopBy()))
+		return max(noticed.Sub(g.now()), stoppingRetryDelay)
 	default:
-		return max(s.first.Add(restartTime).Sub(g.now()), backStopping)
+		return max(s.firstStop.Add(restartTime).Sub(g.now()), stoppingRetryDelay)
 	}
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestBackAfterStop covers the retry delay that a stopping entry tells callers.
-func TestBackAfterStop(t *testing.T) {
+// TestRetryDelayAfterStop covers the retry delay that a stopping entry tells callers.
+func TestRetryDelayAfterStop(t *testing.T) {
 	const own = 6 * time.Second
 	now := time.Now()
 	serving := func(zone string) gossip.State { return gossip.State{Zone: zone, Confirmed: now} }
@@ -53,8 +53,8 @@
 		peers []gossip.State
 		want  time.Duration
 	}{
-		{"another entry of the zone serves", []gossip.State{serving("a"), stopping("a", time.Second)}, backStopping},
-		{"it is the only entry of its zone", []gossip.State{serving("b")}, backStopping},
+		{"another entry of the zone serves", []gossip.State{serving("a"), stopping("a", time.Second)}, stoppingRetryDelay},
+		{"it is the only entry of its zone", []gossip.State{serving("b")}, stoppingRetryDelay},
 		{"the balancer has not noticed yet that the whole zone stops", []gossip.State{stopping("a", 5*time.Second), serving("b")}, NoticeTime},
 		{"the other entry of the zone stops a second later", []gossip.State{stopping("a", 7*time.Second), serving("b")}, NoticeTime + time.Second},
 		{"all entries stop, another one first", []gossip.State{stopping("a", 4*time.Second), stopping("b", 5*time.Second)}, 4*time.Second + restartTime},
@@ -70,7 +70,7 @@
 				f.peers[string(rune('b'+i))] = gossip.Peer{State: s}
 			}
 			f.gateway.Drain(now.Add(own))
-			if got := f.gateway.backAfterStop(); (got - tc.want).Abs() > time.Millisecond {
+			if got := f.gateway.retryDelayAfterStop(); (got - tc.want).Abs() > time.Millisecond {
 				t.Errorf("retry delay %s, want %s", got, tc.want)
 			}
 		})
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,18 +17,18 @@
 type stream struct {
 	g  *Gateway
 	rq *request
-	// began is set once the head of the answer has been sent to the caller.
-	began bool
-	flush func() error
-	// firstIn is the time from the start of the request to the first event.
-	firstIn time.Duration
-	// pausedFor is the longest pause between two events so far, and pausedAt the number of
+	// headSent is set once the head of the answer has been sent to the caller.
+	headSent bool
+	flush    func() error
+	// timeToFirstEvent is the time from the start of the request to the first event.
+	timeToFirstEvent time.Duration
+	// longestPause is the longest pause between two events so far, and longestPauseAt the number of
 	// events passed on when it ended; lastAt is when the last event was passed on.
-	pausedFor time.Duration
-	pausedAt  int
-	lastAt    time.Time
-	// stuck is the reason why a generation that could have been resumed was not.
-	stuck string
+	longestPause   time.Duration
+	longestPauseAt int
+	lastAt         time.Time
+	// notResumedWhy is the reason why a generation that could have been resumed was not.
+	notResumedWhy string
 
 	mu sync.Mutex
 	// at is the engine that runs the generation.
@@ -36,12 +36,13 @@
 	// lastEvent is the ID of the last event that the caller has, and events their number.
 	lastEvent string
 	events    int
-	claim     *claim
-	// kept is the number of prompt tokens that the engine is expected to have cached already.
-	kept int
-	// toRead is the number of prompt tokens that the engine had to read when it got the
+	claim     *loadClaim
+	// cachedTokens is the number of prompt tokens that the engine is expected to have cached
+	// already.
+	cachedTokens int
+	// unreadTokens is the number of prompt tokens that the engine had to read when it got the
 	// generation, including the prompts of requests that it got earlier.
-	toRead int
+	unreadTokens int
 	// copies are the copies of the memory that the generation can be resumed from, in the
 	// order in which they are to be tried.
 	copies []heldCopy
@@ -69,10 +70,10 @@
 type outcome int
 
 const (
-	// streamWhole means that the caller has the complete answer.
-	streamWhole outcome = iota
-	// streamUnrun means that the engine did not run the attempt.
-	streamUnrun
+	// streamComplete means that the caller has the complete answer.
+	streamComplete outcome = iota
+	// streamNotRun means that the engine did not run the attempt.
+	streamNotRun
 	// streamBroken means that the attempt ended before its answer was complete.
 	streamBroken
 	// streamFailed means that the engine answered with a failure, which the caller has.
@@ -86,7 +87,7 @@
 	exclude := map[string]bool{}
 	at, err := s.admit(ctx, nil)
 	if err != nil {
-		g.reject(ctx, rq, err)
+		g.refuseGeneration(ctx, rq, err)
 		return
 	}
 	g.overload(rq.service.Name).Admitted(g.now())
@@ -95,27 +96,27 @@
 		o := s.attempt(ctx, next)
 		exclude[next.at.ID] = true
 		switch o {
-		case streamWhole, streamFailed:
+		case streamComplete, streamFailed:
 			return
-		case streamUnrun:
-			next, ok = s.afterUnrun(ctx, next, exclude)
+		case streamNotRun:
+			next, ok = s.nextAfterNotRun(ctx, next, exclude)
 		case streamBroken:
-			next, ok = s.afterBreak(ctx, exclude)
+			next, ok = s.nextAfterBreak(ctx, exclude)
 		}
 	}
-	s.lost(ctx)
+	s.abort(ctx)
 }
 
-// lost ends a request whose generation cannot be resumed.
-func (s *stream) lost(ctx context.Context) {
-	if !s.began {
+// abort ends a request whose generation cannot be resumed.
+func (s *stream) abort(ctx context.Context) {
+	if !s.headSent {
 		s.g.giveUp(ctx, s.rq, "the generation did not start")
 		return
 	}
 	why := "its engine was lost"
 	switch {
-	case s.stuck != "":
-		why = s.stuck
+	case s.notResumedWhy != "":
+		why = s.notResumedWhy
 	case errors.Is(context.Cause(ctx), errStopped):
 		why = errStopped.Error()
 	case s.rq.caller.Err() != nil:
@@ -134,17 +135,17 @@
 	s.mu.Lock()
 	s.at = st.at
 	now := s.g.now()
-	s.kept = s.g.prefixes.kept(st.at.ID, s.rq.call.Shared, now)
+	s.cachedTokens = s.g.prefixes.cachedTokens(st.at.ID, s.rq.call.Shared, now)
 	s.g.prefixes.note(st.at.ID, s.rq.call.Shared, now)
-	prefill := s.rq.call.Prompt - s.kept
+	prefill := s.rq.call.Prompt - s.cachedTokens
 	if st.from != nil {
 		prefill = 0
 	}
-	s.toRead = s.g.ledger.total(st.at.ID).Prefill + prefill
-	s.claim = s.g.ledger.take(st.at.ID, gossip.Load{Running: 1, Tokens: s.need(), Prefill: prefill, Held: s.held()})
+	s.unreadTokens = s.g.loads.total(st.at.ID).Prefill + prefill
+	s.claim = s.g.loads.add(st.at.ID, gossip.Load{Running: 1, Tokens: s.expectedTokens(), Prefill: prefill, Held: s.heldTokens()})
 	s.mu.Unlock()
 	s.g.register(s, st.at.ID)
-	s.g.others.Nudge()
+	s.g.peers.Nudge()
 }
 
 // leave undoes enter.
@@ -176,12 +177,12 @@
 	if id != "" {
 		s.lastEvent = id
 	}
-	held := s.held()
-	tokens := max(s.need(), held+s.rq.service.Engine.EventTokens)
+	held := s.heldTokens()
+	tokens := max(s.expectedTokens(), held+s.rq.service.Engine.EventTokens)
 	claim := s.claim
 	s.mu.Unlock()
-	claim.change(gossip.Load{Running: 1, Tokens: tokens, Held: held})
+	claim.update(gossip.Load{Running: 1, Tokens: tokens, Held: held})
 	if first {
-		s.g.startedAt(s)
+		s.g.onFirstEvent(s)
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -28,8 +28,8 @@
 
 	mu      sync.Mutex
 	stopped chan struct{}
-	// pace is the time between two events.
-	pace time.Duration
+	// eventInterval is the time between two events.
+	eventInterval time.Duration
 	// copies are the answers to successive copy commands; the last one is repeated.
 	copies []protocol.CopyResult
 	// refuse is the number of attempts to resume from a copy that are refused without a run.
@@ -38,9 +38,9 @@
 	breakAfter int
 	// copyWait, if set, delays the answers to copy commands until it is closed.
 	copyWait chan struct{}
-	orders   []string
-	// arrived counts the commands, including those whose answers copyWait delays.
-	arrived int
+	commands []string
+	// commandCount counts the commands, including those whose answers copyWait delays.
+	commandCount int
 	// releases counts the commands to release a copy.
 	releases int
 }
@@ -53,7 +53,7 @@
 }
 
 func (f *fixture) addEngine(id string) *engine {
-	e := &engine{stopped: make(chan struct{}), pace: time.Millisecond}
+	e := &engine{stopped: make(chan struct{}), eventInterval: time.Millisecond}
 	e.upstream = f.add("llm", id, e.serve)
 	return e
 }
@@ -77,16 +77,16 @@
 	}
 }
 
-// ordered returns the number of commands to copy or to release a copy.
-func (e *engine) ordered() int {
+// commandsArrived returns the number of commands to copy or to release a copy.
+func (e *engine) commandsArrived() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.arrived
+	return e.commandCount
 }
 
 func (e *engine) serveCopy(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	e.arrived++
+	e.commandCount++
 	e.mu.Unlock()
 	if e.copyWait != nil && r.Method == http.MethodPost {
 		<-e.copyWait
@@ -96,7 +96,7 @@
 	if r.Method == http.MethodDelete {
 		e.releases++
 	}
-	e.orders = append(e.orders, r.URL.RawQuery)
+	e.commands = append(e.commands, r.URL.RawQuery)
 	result := e.copies[0]
 	if len(e.copies) > 1 {
 		e.copies = e.copies[1:]
@@ -121,14 +121,14 @@
 		return
 	}
 	w.Header().Set(testProof, e.id)
-	from, _ := strconv.Atoi(r.Header.Get(testLast))
+	from, _ := strconv.Atoi(r.Header.Get(testLastEvent))
 	for i := from + 1; i <= lastTestEvent; i++ {
 		select {
 		case <-stopped:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
-		case <-time.After(e.pace):
+		case <-time.After(e.eventInterval):
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: x\n\n", i)
 		if i == breakAfter {
@@ -215,12 +215,12 @@
 		return protocol.CopyResult{Outcome: o, Handle: handle}
 	}
 	for _, tc := range []struct {
-		name   string
-		copies []protocol.CopyResult
-		refuse int
-		whole  bool
-		orders int
-		from   string
+		name     string
+		copies   []protocol.CopyResult
+		refuse   int
+		whole    bool
+		commands int
+		from     string
 	}{
 		{"the stream resumes from the first copy", []protocol.CopyResult{copied("h1"), copied("h2")}, 0, true, 2, "h1"},
 		{"the stream resumes from the second copy when the first is refused", []protocol.CopyResult{copied("h1"), copied("h2")}, 1, true, 2, "h2"},
@@ -234,7 +234,7 @@
 			engines := map[string]*engine{}
 			for _, id := range []string{"a", "b", "c"} {
 				e := f.addEngine(id)
-				e.copies, e.refuse, e.pace = tc.copies, tc.refuse, 4*time.Millisecond
+				e.copies, e.refuse, e.eventInterval = tc.copies, tc.refuse, 4*time.Millisecond
 				engines[id] = e
 			}
 			result := make(chan answer, 1)
@@ -249,10 +249,10 @@
 			source := engines[first]
 			source.mu.Lock()
 			defer source.mu.Unlock()
-			if len(source.orders) != tc.orders {
-				t.Errorf("copy commands %v, want %d", source.orders, tc.orders)
+			if len(source.commands) != tc.commands {
+				t.Errorf("copy commands %v, want %d", source.commands, tc.commands)
 			}
-			if from := f.goneOnFrom(engines, first); from != tc.from {
+			if from := f.resumedFrom(engines, first); from != tc.from {
 				t.Errorf("resumed from copy %q, want %q", from, tc.from)
 			}
 		})
@@ -272,8 +272,8 @@
 	return ""
 }
 
-// goneOnFrom returns the copy from which the stream was last resumed.
-func (f *fixture) goneOnFrom(engines map[string]*engine, first string) string {
+// resumedFrom returns the copy from which the stream was last resumed.
+func (f *fixture) resumedFrom(engines map[string]*engine, first string) string {
 	from := ""
 	for id, e := range engines {
 		if id == first {
@@ -290,7 +290,7 @@
 func TestMoveOfAStreamThatBeginsOnALeavingEngine(t *testing.T) {
 	f := newFixture(t)
 	a := f.addEngine("a")
-	a.copies, a.pace = []protocol.CopyResult{{Handle: "h1"}, {Handle: "h2"}}, 10*time.Millisecond
+	a.copies, a.eventInterval = []protocol.CopyResult{{Handle: "h1"}, {Handle: "h2"}}, 10*time.Millisecond
 	result := make(chan answer, 1)
 	go func() { result <- f.ask(pathStream) }()
 	f.waitRunning()
@@ -299,7 +299,7 @@
 	if got := <-result; got.err != nil || got.body != wholeStream() {
 		t.Errorf("%v, %q; want every event once", got.err, got.body)
 	}
-	if !f.noted(events.StreamMoved) {
+	if !f.recorded(events.StreamMoved) {
 		t.Error("the stream was not moved")
 	}
 }
@@ -329,7 +329,7 @@
 	f := newFixture(t)
 	bad := f.add("llm", "bad", serveError)
 	good := f.addEngine("good")
-	f.gateway.ledger.setPeer("other", map[string]gossip.Load{"good": {Running: 4, Tokens: 40000}})
+	f.gateway.loads.setPeer("other", map[string]gossip.Load{"good": {Running: 4, Tokens: 40000}})
 	failed := 0
 	for range 30 {
 		if a := f.ask(pathStream); a.status != http.StatusOK {
@@ -344,25 +344,25 @@
 	}
 }
 
-// An engine that accepts requests but begins none has to become a suspect with the first one,
+// An engine that accepts requests but starts none has to be marked as faulty with the first one,
 // unless it reports prompts being read or requests waiting.
 func TestEngineThatStaysSilentGetsNoMore(t *testing.T) {
 	for _, tc := range []struct {
 		name, report string
-		suspected    bool
+		faulty       bool
 	}{
 		{"no report", "", true},
 		{"it reports no waiting requests", "serving", true},
 		{"it reports that it reads prompts", "reading", false},
 		{"it reports waiting requests", "waiting", false},
 	} {
-		t.Run(tc.name, func(t *testing.T) { testSilentEngine(t, tc.report, tc.suspected) })
+		t.Run(tc.name, func(t *testing.T) { testSilentEngine(t, tc.report, tc.faulty) })
 	}
 }
 
 // testSilentEngine lets an engine accept a generation and not begin it. The engine answers state
 // queries with report, or not at all if report is empty.
-func testSilentEngine(t *testing.T, report string, suspected bool) {
+func testSilentEngine(t *testing.T, report string, faulty bool) {
 	t.Helper()
 	f := newFixture(t)
 	release := make(chan struct{})
@@ -389,29 +389,29 @@
 		}
 	}()
 	deadline := time.Now().Add(5 * time.Second)
-	for !f.noted(events.StreamStartsLate) {
+	for !f.recorded(events.StreamStartsLate) {
 		if time.Now().After(deadline) {
 			t.Fatal("the late start of the generation is not logged")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	deadline = time.Now().Add(2 * inquireWithin)
+	deadline = time.Now().Add(2 * queryTimeout)
 	for len(f.fleet.Faults()) == 0 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
 	u, _ := f.fleet.Get("mute")
-	if got := u.Suspect(time.Now()); got != suspected {
-		t.Errorf("the engine is suspected: %v, want %v", got, suspected)
+	if got := u.Suspect(time.Now()); got != faulty {
+		t.Errorf("the engine is marked as faulty: %v, want %v", got, faulty)
 	}
-	if got := len(f.fleet.Faults()); (got == 1) != suspected {
+	if got := len(f.fleet.Faults()); (got == 1) != faulty {
 		t.Errorf("other entries are told of %d faults", got)
 	}
 }
 
-// An engine that begins a generation late, while its state is being queried, must not become a
-// suspect. Its report arrives after the first event and states that nothing waits. Stopping the
+// An engine that starts a generation late, while its state is being queried, must not be marked as
+// faulty. Its report arrives after the first event and states that nothing waits. Stopping the
 // timer that triggers the query does not cancel a query in progress.
-func TestEngineThatBeginsDuringStateQueryIsNoSuspect(t *testing.T) {
+func TestEngineThatStartsDuringStateQueryIsNotMarkedFaulty(t *testing.T) {
 	f := newFixture(t)
 	asked, passed := make(chan struct{}), make(chan struct{})
 	f.add("llm", "late", func(w http.ResponseWriter, r *http.Request) {
@@ -442,7 +442,7 @@
 		t.Fatal(err)
 	}
 	close(passed)
-	for deadline := time.Now().Add(2 * inquireWithin); !f.noted(events.UpstreamAsked); {
+	for deadline := time.Now().Add(2 * queryTimeout); !f.recorded(events.UpstreamAsked); {
 		if time.Now().After(deadline) {
 			t.Fatal("the engine's report is not logged")
 		}
@@ -484,7 +484,7 @@
 	for i := 1; i < 8; i++ {
 		loads[fmt.Sprintf("near-%d", i)] = load(i)
 	}
-	f.gateway.ledger.setPeer("other", loads)
+	f.gateway.loads.setPeer("other", loads)
 	s := &stream{g: f.gateway, rq: &request{call: protocol.Call{Prompt: 1000, MaxOutput: 1000}, service: &routetable.Service{Name: "llm", Engine: &routetable.Engine{Slots: 8, MemoryTokens: 100000}}}}
 	drawn := map[string]int{}
 	for range 700 {
@@ -527,7 +527,7 @@
 		}
 		time.Sleep(time.Millisecond)
 		b.mu.Lock()
-		released = len(b.orders) == 1
+		released = len(b.commands) == 1
 		b.mu.Unlock()
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -34,17 +34,17 @@
 mutant gateway-unknown-keys $gateway/request.go 's/if !trusted && \(!ok \|\| g\.settings\.HardKeyBound\)/if !trusted \&\& g.settings.HardKeyBound/' $gateway TestKeyCheckByAgeOfRouteTable
 mutant relay-silent-store internal/relay/store.go 's/deadline\.Sub\(s\.now\(\)\)\/2/deadline.Sub(s.now())/' internal/relay TestEntryThatStartsWhileTheStoreIsSilent
 mutant gateway-torn $gateway/eventreader.go 's/if n := wholeEvents\(e\.buf\[e\.start:e\.end\]\); n > 0/if n := e.end - e.start; n > 0/' $gateway TestBrokenStream
-mutant gateway-whole $gateway/relay.go 's/if errors\.Is\(err, io\.EOF\) && answer\.Framed && len\(rest\) == 0 && s\.began \{/if _ = errors.Is(err, io.EOF); s.began {/' $gateway TestBrokenStream
+mutant gateway-whole $gateway/relay.go 's/if errors\.Is\(err, io\.EOF\) && answer\.Framed && len\(rest\) == 0 && s\.headSent \{/if _ = errors.Is(err, io.EOF); s.headSent {/' $gateway TestBrokenStream
 mutant gateway-second-copy $gateway/move.go 's/s\.copies = append\(s\.copies, held\)/_ = append(s.copies, held)/' $gateway TestMove
-mutant gateway-faulty $gateway/attempt.go 's/s\.g\.faulty\(st\.at\.ID\)/s.g.fleet.Note(st.at.ID, fleet.Failed)/' $gateway TestEngineThatFailsAtOnce
-mutant gateway-silent $gateway/attempt.go 's/\tg\.faulty\(upstream\)\n//' $gateway TestEngineThatStaysSilent
+mutant gateway-faulty $gateway/attempt.go 's/s\.g\.markFaulty\(st\.at\.ID\)/s.g.fleet.Note(st.at.ID, fleet.Failed)/' $gateway TestEngineThatFailsAtOnce
+mutant gateway-silent $gateway/attempt.go 's/\tg\.markFaulty\(upstream\)\n//' $gateway TestEngineThatStaysSilent
 mutant placement-spread $placement/target.go 's/drawIndex\(sameZone, v\.Random\(\)\)/drawIndex(sameZone, 0)/' $gateway TestTargetsOfMoves
 mutant placement-room $placement/room.go 's/return ErrMemory/return nil/' internal/placement TestRoom
 mutant placement-kept-room $placement/room.go 's/usable = float64\(e\.MemoryTokens\)/_ = e.Slots/' internal/placement TestRoom
 mutant placement-waiting-prompts $placement/room.go 's/return ErrPrompts/return nil/' internal/placement TestRoom
-mutant gateway-silent-load $gateway/gateway.go 's/g\.ledger\.keepPeers\(func/_ = peers\n\t_ = (func/' $gateway TestLoadOfUnreachableEntries
-mutant gateway-stop-longest $gateway/request.go 's/g\.pace\.rest\(rq\.call\.MaxOutput,/g.pace.rest(rq.call.Hint,/' $gateway TestStoppingGatewayIgnoresTheHint
-mutant gateway-back-after-stop $gateway/stop.go 's/case s\.far:/case false:/' $gateway TestBackAfterStop
+mutant gateway-silent-load $gateway/gateway.go 's/g\.loads\.keepPeers\(func/_ = peers\n\t_ = (func/' $gateway TestLoadOfUnreachableEntries
+mutant gateway-stop-longest $gateway/request.go 's/g\.eventInterval\.remaining\(rq\.call\.MaxOutput,/g.eventInterval.remaining(rq.call.Hint,/' $gateway TestStoppingGatewayIgnoresTheHint
+mutant gateway-back-after-stop $gateway/stop.go 's/case s\.anyServes:/case false:/' $gateway TestRetryDelayAfterStop
 mutant gateway-stop-answers $gateway/stop.go 's/\ttime\.AfterFunc\(end\.Add\(-AnswerSpare\)[^\n]*\n//' $gateway TestStopAnswersRequestsInFlight
 mutant gateway-half-closed $gateway/request.go 's/\tg\.proto\.Refuse\(rq\.w, &rq\.call, protocol\.Refusal\{Status: status, Reason: reason\}, g\.now\(\)\)\n\}/\tpanic(http.ErrAbortHandler)\n}/' $gateway TestCallerThatOnlyStopsSending
 
@@ -57,13 +57,13 @@
 mutant connection-last-answer $connlimit/answerwriter.go 's/if a\.limiter\.stops\(\) \{/if false {/' $connlimit TestDrain
 mutant connection-accepting $connlimit/connlimit.go 's/\t\t\t<-listener\.ended\n/\t\t\t_ = listener.ended\n/' $connlimit TestDrainWaits
 mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestStopThatIsLate
-mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerReadyAtDeadline|TestUpstreamErrorIsPreferred'
+mutant gateway-at-the-end $gateway/call.go 's/return c\.answerAtDeadline\(ctx, best\), true/_ = c.answerAtDeadline\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerReadyAtDeadline|TestUpstreamErrorIsPreferred'
 mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestPanicIsAnswered
 mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsComeBack
 mutant placement-overload-age $placement/overload.go 's/min\(ageFactor\*share, 1\)/0*share/' internal/placement TestRetryAfterGrowsWithOverload
 mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestFailureIsAttributed
-mutant gateway-copy-outlasts $gateway/move.go 's/context\.WithTimeout\(context\.Background\(\), copyWithin\)/context.WithTimeout(s.rq.caller, copyWithin)/' $gateway TestCopyThatOutlasts
-mutant gateway-brief-stay $gateway/move.go 's/ && !s\.endsWithin\(copyTakes\)//' $gateway TestMovable
+mutant gateway-copy-outlasts $gateway/move.go 's/context\.WithTimeout\(context\.Background\(\), copyTimeout\)/context.WithTimeout(s.rq.caller, copyTimeout)/' $gateway TestCopyThatOutlasts
+mutant gateway-brief-stay $gateway/move.go 's/ && !s\.endsWithin\(typicalCopyTime\)//' $gateway TestMovable
 mutant gateway-told-reading $gateway/attempt.go 's/state\.Unbegun == 0/state.Unbegun >= 0/' $gateway TestEngineThatStaysSilent
 mutant placement-reserve $placement/reserve.go 's/leavingShare\*shareOf/leavingShare + 0*shareOf/' internal/placement TestReserve
 mutant placement-moved-in-time $placement/reserve.go 's/usable = min\(usable, e\.CopyRate/usable = min(usable, 1e9*e.CopyRate/' internal/placement TestUsable
@@ -151,10 +151,10 @@
 mutant start-version-kept internal/daemon/upstreamrows.go 's/\t\tr\.Version = row\.Version\n//' internal/daemon TestUpstreamChangesKeep
 mutant start-removal-version internal/daemon/upstreamrows.go 's/, Version: row\.Version\}\)/})/' internal/daemon TestUpstreamChangesKeep
 mutant start-report $gateway/inquire.go 's/ && state\.Born != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
-mutant start-copy-target $gateway/move.go 's/if !g\.there\(target\.ID\) \{/if false {/' $gateway TestCopyToAnEndedIncarnation
-mutant start-orders $gateway/move.go 's/if !g\.there\(from\.ID\) \{/if false {/' $gateway TestNothingIsMovedFromAnEndedIncarnation
-mutant start-release $gateway/move.go 's/if !g\.there\(held\.at\.ID\) \{/if false {/' $gateway TestCopiesHeldByAnEndedIncarnation
-mutant start-copies $gateway/continue.go 's/if s\.g\.there\(held\.at\.ID\) \{/if true {/' $gateway TestCopiesHeldByAnEndedIncarnation
+mutant start-copy-target $gateway/move.go 's/if !g\.incarnationKnown\(target\.ID\) \{/if false {/' $gateway TestCopyToAnEndedIncarnation
+mutant start-orders $gateway/move.go 's/if !g\.incarnationKnown\(from\.ID\) \{/if false {/' $gateway TestNothingIsMovedFromAnEndedIncarnation
+mutant start-release $gateway/move.go 's/if !g\.incarnationKnown\(held\.at\.ID\) \{/if false {/' $gateway TestCopiesHeldByAnEndedIncarnation
+mutant start-copies $gateway/continue.go 's/if s\.g\.incarnationKnown\(held\.at\.ID\) \{/if true {/' $gateway TestCopiesHeldByAnEndedIncarnation
 mutant start-wire-name $gateway/request.go 's/Upstream: u\.Name,/Upstream: u.ID,/' $gateway TestCallsToAnEndedIncarnation
 mutant start-row platform/upstreams.go 's/Born: f\.born\(\), //' platform TestBirthInARow
 mutant start-reported platform/engine.go 's/\t\tBorn:    r\.Born,\n//' platform TestBirthInAReport
@@ -202,8 +202,8 @@
 mutant held-leaving $gateway/crashing.go 's/known && u\.State\(\) == fleet\.Leaving/known \&\& u.State() < 0/' $gateway TestOnlyCrashesMakeASuspect
 mutant held-lost-answer $gateway/crashing.go 's/g\.quarantine\.Lives\(upstream\.ID\)/g.quarantine.Ended(upstream.ID)/' $gateway TestOnlyCrashesMakeASuspect
 mutant held-hedge $gateway/call.go 's/ \|\| c\.rq\.run\.Suspected\(\) \{/ {/' $gateway TestSuspectIsNotHedged
-mutant held-call $gateway/call.go 's/\t\tg\.broke\(rq, u, r\.err\)\n//' $gateway TestPoisonRequestIsQuarantined
-mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.broke\(s\.rq, st\.at, err\)\n//' $gateway TestPoisonRequestIsQuarantined
+mutant held-call $gateway/call.go 's/\t\tg\.recordBrokenAnswer\(rq, u, r\.err\)\n//' $gateway TestPoisonRequestIsQuarantined
+mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.recordBrokenAnswer\(s\.rq, st\.at, err\)\n//' $gateway TestPoisonRequestIsQuarantined
 mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Hear\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
 mutant held-untold internal/gossip/message.go 's/Suspects: quarantine\.Encode\(s\.Suspects/Suspects: quarantine.Encode(s.Suspects[:0]/' platform/soak TestCrashingRequest
 mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedOver
@@ -220,7 +220,7 @@
 mutant stop-in-pieces internal/daemon/runlag.go 's/look\.late$/false/m; s/late = look\.late/late = false/' internal/daemon TestRunLag
 mutant stop-lag-asked internal/daemon/gatewayhttp.go 's/, b\.lag\.earliest\(\)$/, time.Now()/m' internal/daemon TestToldToStop
 mutant stop-gives-up-late internal/gateway/stop.go 's/time\.AfterFunc\(end\.Add/time.AfterFunc(last.Add/' internal/gateway TestDrainUntilKeepsRequestsInFlight
-mutant stop-takes-by-last internal/gateway/stop.go 's/g\.stopBy\.Set\(last\)/g.stopBy.Set(end)/' internal/gateway TestDrainUntilKeepsRequestsInFlight
+mutant stop-takes-by-last internal/gateway/stop.go 's/g\.stopBy\.Store\(last\)/g.stopBy.Store(end)/' internal/gateway TestDrainUntilKeepsRequestsInFlight
 mutant stop-waits-entry internal/daemon/entry.go 's/if !b\.entry\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/entry_stop'
 mutant stop-waits-sidecar internal/daemon/sidecar.go 's/if !b\.server\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/leaving'
 mutant stop-waits-gateway internal/daemon/gatewayhttp.go 's/if err := b\.callers\.connections\.Drain\(served\); err != nil \{/if err := served.Err(); err != nil {/' internal/daemon TestStopAnswersWhatWasRead
@@ -257,10 +257,10 @@
 mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestWhoMayGrant
 mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestWhenLimitsWereTold
 mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestRateLimitOfUpstreamIsObeyed
-mutant limits-copy $gateway/continue.go 's/if err := s\.g\.await\(ctx, held\.at\.ID, s\.g\.now\(\)\.Add\(goOnWithin\)\); err != nil/if err := ctx.Err(); err != nil/' $gateway TestMovedGenerationNeedsAPermit
-mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.unlimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPreferUnlimitedEngines
+mutant limits-copy $gateway/continue.go 's/if err := s\.g\.awaitPermit\(ctx, held\.at\.ID, s\.g\.now\(\)\.Add\(resumeWait\)\); err != nil/if err := ctx.Err(); err != nil/' $gateway TestMovedGenerationNeedsAPermit
+mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.excludeLimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPreferUnlimitedEngines
 mutant limits-other-answer $gateway/limits.go 's/if h\.header\.Get\(g\.proto\.IDHeader\) != rq\.call\.ID \{/if h.header == nil {/' $gateway 'TestLimitInAnswerToAnotherRequest|TestAnswersThatEndALimit'
-mutant limits-failure $gateway/limits.go 's/ && h\.whole \{/ {/' $gateway TestAnswersThatEndALimit
+mutant limits-failure $gateway/limits.go 's/ && h\.complete \{/ {/' $gateway TestAnswersThatEndALimit
 mutant limits-stop $gateway/stop.go 's/\tg\.limits\.Leave\(\)\n//' $gateway TestStoppingEntryHandsOverGranting
 mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationWaitsForAPermit
 mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitInHeaders
