--- a/internal/directory/begin.go
+++ b/internal/directory/begin.go
@@ -6,91 +6,95 @@
 	"time"
 )
 
-// begin reads the list and lists the own entry, again soon until both have succeeded: an entry that
-// knows of no other judges alone, and takes what all share.
+// join reads the list of entries and writes this entry's row, and retries each call until it
+// succeeds. The retry delays are short, because an entry that does not know the others identifies
+// poison requests by its own observations only, and takes the whole of what all entries share, such
+// as retry budgets.
 //
-// One that finds others speaks to them, and entries that hear each other tell each other of the rest.
-// So its row is in no hurry, and hundreds that start together need not find it refused: a store takes
-// some hundred a second. One that finds nobody lists itself at once and looks again.
-func (d *Directory) begin(ctx context.Context) {
+// An entry that finds others contacts them, and entries in contact tell each other of the rest. Its
+// row is therefore not urgent and is written after a random delay: the store accepts only a few
+// hundred rows a second, and would refuse rows of hundreds of entries that start together. An entry
+// that finds no other writes its row at once and reads the list again.
+func (d *Directory) join(ctx context.Context) {
 	if d.settings.Together {
-		pause(ctx, upTo(d.settings.TogetherWithin))
+		sleep(ctx, randomUpTo(d.settings.TogetherWithin))
 	}
-	d.again(ctx, d.read)
+	d.retry(ctx, d.read)
 	written := d.alone
 	if d.alone {
-		d.again(ctx, d.renew)
-		d.lookAgain(ctx)
+		d.retry(ctx, d.renew)
+		d.readAgainIfAlone(ctx)
 	} else {
 		d.others.Known()
-		d.awaitHeard(ctx, d.settings.HeardWithin)
+		d.awaitContact(ctx, d.settings.HeardWithin)
 		if d.others.Heard() == 0 {
-			d.again(ctx, d.renew)
-			d.again(ctx, d.read)
+			d.retry(ctx, d.renew)
+			d.retry(ctx, d.read)
 			written = true
 		}
 	}
 	d.others.Known()
 	if !written {
-		d.awaitSoon(ctx, upTo(time.Duration(max(d.listed, d.others.Heard()))*d.settings.WriteEach))
-		d.again(ctx, d.renew)
+		d.awaitRenewalRequest(ctx, randomUpTo(time.Duration(max(d.listed, d.others.Heard()))*d.settings.WriteEach))
+		d.retry(ctx, d.renew)
 	}
 }
 
-// lookAgain is for an entry that found nobody: others may have looked at the same moment. It looks
-// again after a pause of random length, unless one that did so before has spoken to it.
-func (d *Directory) lookAgain(ctx context.Context) {
-	d.awaitHeard(ctx, upTo(d.settings.AloneWithin))
+// readAgainIfAlone is for an entry that found no other one, because others may have read the list
+// at the same moment. It reads the list again after a random delay. If another entry makes contact
+// during the delay, it only waits for that entry to tell it of the rest.
+func (d *Directory) readAgainIfAlone(ctx context.Context) {
+	d.awaitContact(ctx, randomUpTo(d.settings.AloneWithin))
 	if d.others.Heard() == 0 {
-		d.again(ctx, d.read)
+		d.retry(ctx, d.read)
 		return
 	}
-	pause(ctx, d.settings.ToldWithin)
+	sleep(ctx, d.settings.ToldWithin)
 }
 
-// upTo returns a random time up to a most.
-func upTo(most time.Duration) time.Duration { return rand.N(most + 1) }
+// randomUpTo returns a random duration between 0 and limit.
+func randomUpTo(limit time.Duration) time.Duration { return rand.N(limit + 1) }
 
-// awaitSoon returns after a time, or once the own row is to be renewed soon.
-func (d *Directory) awaitSoon(ctx context.Context, most time.Duration) {
+// awaitRenewalRequest returns after the timeout, on a request of RenewSoon, or when ctx ends.
+func (d *Directory) awaitRenewalRequest(ctx context.Context, timeout time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-d.soon:
-	case <-time.After(most):
+	case <-d.renewRequests:
+	case <-time.After(timeout):
 	}
 }
 
-// heardEach is the pause between two looks at whether another entry is heard.
-const heardEach = 5 * time.Millisecond
+// contactPollInterval is the time between two checks for a message from another entry.
+const contactPollInterval = 5 * time.Millisecond
 
-// awaitHeard returns once another entry is heard, after a time at most.
-func (d *Directory) awaitHeard(ctx context.Context, most time.Duration) {
-	for left := most; left > 0 && ctx.Err() == nil && d.others.Heard() == 0; left -= heardEach {
-		pause(ctx, min(left, heardEach))
+// awaitContact returns when messages of another entry arrive, or after the timeout.
+func (d *Directory) awaitContact(ctx context.Context, timeout time.Duration) {
+	for remaining := timeout; remaining > 0 && ctx.Err() == nil && d.others.Heard() == 0; remaining -= contactPollInterval {
+		sleep(ctx, min(remaining, contactPollInterval))
 	}
 }
 
-// again makes a call, again soon until it has succeeded or ctx ends.
-func (d *Directory) again(ctx context.Context, call func(ctx context.Context) error) {
-	for wait := firstLeast; ctx.Err() == nil; wait = min(2*wait, firstMost) {
+// retry calls call until it succeeds or ctx ends, with exponential backoff and jitter.
+func (d *Directory) retry(ctx context.Context, call func(ctx context.Context) error) {
+	for wait := retryDelayMin; ctx.Err() == nil; wait = min(2*wait, retryDelayMax) {
 		err := call(ctx)
-		d.note(err)
+		d.recordResult(err)
 		if err == nil {
 			return
 		}
-		pause(ctx, around(wait))
+		sleep(ctx, withJitter(wait))
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// around returns a time from half of a mean to one and a half times it, so that entries that start
-// together do not go on calling together.
-func around(mean time.Duration) time.Duration {
+// withJitter returns a random duration from 0.5 to 1.5 times mean, so that entries that start
+// together do not keep calling at the same moments.
+func withJitter(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(rand.Int64N(int64(mean)))
 }
--- a/internal/directory/again_test.go
+++ b/internal/directory/begin_test.go
@@ -11,14 +11,14 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// An entry whose first reads of the list failed tried again 5 to 15 s later, and did not know the
-// others until then, unless one of them heard of it.
-func TestFirstReadsThatFail(t *testing.T) {
+// TestFailedFirstReadsAreRetriedSoon guards against an entry that does not know the others for 5 to
+// 15 s after its start, because a failed first read is only repeated at the next regular one.
+func TestFailedFirstReadsAreRetriedSoon(t *testing.T) {
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
 	store.add(t, "other", 999*time.Second)
-	seam := store.seam()
-	list, reads := seam.List, 0
-	seam.List = func(ctx context.Context, table string) (platform.Snapshot, error) {
+	fake := store.platformStore()
+	list, reads := fake.List, 0
+	fake.List = func(ctx context.Context, table string) (platform.Snapshot, error) {
 		reads++
 		if reads <= 4 {
 			return platform.Snapshot{}, errors.New("the store is slow")
@@ -27,7 +27,7 @@
 	}
 	found := make(chan map[string]roster.Entry, 4)
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Hour, CallWithin: time.Second},
-		seam, finds(func(a map[string]roster.Entry) { found <- a }), nothing, events.Nop(), time.Now)
+		fake, othersNeverHeard(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
 	go d.Run(t.Context())
 	select {
 	case a := <-found:
--- a/internal/directory/carried_test.go
+++ b/internal/directory/carried_test.go
@@ -10,18 +10,18 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// finds are the others of an entry that hears none of them.
-func finds(found func(map[string]roster.Entry)) Others {
+// othersNeverHeard returns the callbacks of an entry that never gets a message from another one.
+func othersNeverHeard(found func(map[string]roster.Entry)) Others {
 	return Others{Found: found, Heard: func() int { return 0 }, Known: func() {}}
 }
 
-// nothing is carried by entries that have nothing to keep.
-var nothing = Carried{Value: func() []byte { return nil }, Heard: func(string, []byte, time.Duration) {}}
+// nothingCarried is for entries without data to keep in their rows.
+var nothingCarried = Carried{Value: func() []byte { return nil }, Heard: func(string, []byte, time.Duration) {}}
 
-// TestCarriedOverALossOfAllEntries covers what an entry finds in the rows of entries that are
-// gone, its own before among them: it hears of it before it writes its own row, which
-// carries it on.
-func TestCarriedOverALossOfAllEntries(t *testing.T) {
+// TestCarriedValueSurvivesTheLossOfAllEntries checks that an entry which starts after all others
+// have stopped reads the data in their rows, and in its own earlier row, before it overwrites its
+// row. Otherwise this data would be lost.
+func TestCarriedValueSurvivesTheLossOfAllEntries(t *testing.T) {
 	const clock = 1000 * time.Second
 	store := &fakeStore{rows: map[string][]byte{}, clock: clock}
 	for name, age := range map[string]time.Duration{"me": 2 * time.Second, "gone": 3 * time.Second} {
@@ -31,33 +31,33 @@
 		}
 		store.rows[name] = b
 	}
-	heard, wrote := map[string]time.Duration{}, make(chan []byte)
+	heard, writes := map[string]time.Duration{}, make(chan []byte)
 	carried := Carried{
 		Value: func() []byte { return []byte("all") },
 		Heard: func(_ string, value []byte, age time.Duration) { heard[string(value)] = age },
 	}
-	seam := store.seam()
-	put := seam.Put
-	seam.Put = func(ctx context.Context, table, name string, value []byte) error {
+	fake := store.platformStore()
+	put := fake.Put
+	fake.Put = func(ctx context.Context, table, name string, value []byte) error {
 		if heard["of me"] != 2*time.Second || heard["of gone"] != 3*time.Second {
 			t.Errorf("heard %v before the first write", heard)
 		}
 		select {
-		case wrote <- value:
+		case writes <- value:
 		case <-ctx.Done():
 		}
 		return put(ctx, table, name, value)
 	}
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, CallWithin: time.Second},
-		seam, finds(func(map[string]roster.Entry) {}), carried, events.Nop(), time.Now)
+		fake, othersNeverHeard(func(map[string]roster.Entry) {}), carried, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
 	for _, what := range []string{"at the start", "when asked"} {
 		select {
-		case value := <-wrote:
+		case value := <-writes:
 			if r, err := decodeRow(value); err != nil || string(r.Carried) != "all" {
-				t.Errorf("%s: %s, %v", what, value, err)
+				t.Errorf("%s: row %s, %v", what, value, err)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatalf("not written %s", what)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,7 @@
-// Package directory keeps the list of entries in the store, so that they find
-// each other. Each entry renews its own row; rows that are no longer renewed are
-// ignored and, after a while, removed by whoever sees them.
+// Package directory registers the entries (gateway processes) of a deployment in a table of the
+// store, so that they find each other. The gateway daemon runs one Directory, which renews the
+// entry's own row, reads the rows of the others and removes expired rows. A row that is no longer
+// renewed is ignored after a few missed renewals, so a crashed entry leaves the list without help.
 package directory
 
 import (
@@ -13,69 +14,79 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// Settings are the fixed numbers of a Directory.
+// Settings holds the fixed parameters of a Directory.
 type Settings struct {
-	// Table is the table that holds the rows.
+	// Table is the store's table that holds the rows.
 	Table string
-	// Name and Entry are the own entry's.
+	// Name and Entry describe this entry; its row is made from them.
 	Name  string
 	Entry roster.Entry
-	// Every is the least time between two reads; every third one renews the own row.
+	// Every is the minimum interval between two reads of the table. Each third read also renews the
+	// own row.
 	Every time.Duration
-	// ReadEach is the least time between two reads of all entries together: with many
-	// of them each reads less often.
+	// ReadEach is the minimum interval between the reads of all entries together. With many entries
+	// each one reads less often than Every.
 	ReadEach time.Duration
-	// Again is the time after which a renewal that the store refused is tried again:
-	// of hundreds of entries that start together it takes some hundred rows a second.
+	// Again is the delay before a failed renewal is retried. When hundreds of entries start
+	// together, the store accepts only a few hundred rows a second and refuses the rest.
 	Again time.Duration
-	// CallWithin bounds one call to the store.
+	// CallWithin is the timeout of one call to the store.
 	CallWithin time.Duration
-	// HeardWithin is the time in which one of the entries in the list is heard.
+	// HeardWithin is how long an entry that starts waits for a message from one of the listed
+	// entries.
 	HeardWithin time.Duration
-	// Together tells that all entries start for the first time, and TogetherWithin spreads their
-	// first looks at the list: it is empty, and those that look later find the first ones.
+	// Together is set when all entries of the deployment start for the first time. The table is
+	// empty then, so the first reads are spread over TogetherWithin: entries that read later find
+	// the rows of earlier ones.
 	Together       bool
 	TogetherWithin time.Duration
-	// AloneWithin bounds the pause after which an entry that found no other one looks again.
+	// AloneWithin is the maximum delay before an entry that found no other one reads the table
+	// again.
 	AloneWithin time.Duration
-	// ToldWithin is the time in which an entry that is heard tells which others there are.
+	// ToldWithin is how long an entry in contact with another one takes to learn of the rest from
+	// it.
 	ToldWithin time.Duration
-	// WriteEach is the least time between two rows of all entries together, when they start.
+	// WriteEach is the minimum interval between the writes of all entries together when they start.
 	WriteEach time.Duration
 }
 
-// Others are the other entries.
+// Others holds the callbacks that connect a Directory to the entry's exchange of messages with the
+// others.
 type Others struct {
-	// Found takes over those that are listed, by name.
+	// Found receives the listed entries by name after each read. They include this entry once its
+	// row is written.
 	Found func(listed map[string]roster.Entry)
-	// Heard is the number of them that are heard. Those that hear each other tell each other of
-	// further ones.
+	// Heard returns the number of other entries whose messages arrive. Entries in contact tell each
+	// other of further ones.
 	Heard func() int
-	// Known is called once those that are there are known as far as they can be soon.
+	// Known is called when the entry knows as many of the others as it can learn soon. It may be
+	// called again.
 	Known func()
 }
 
-// Carried is what entries keep in their rows for those that start when all others are gone.
+// Carried holds the callbacks for data that entries keep in their rows, where it survives a stop of
+// all entries at once.
 type Carried struct {
-	// Value returns what the own row is to hold; nil for nothing.
+	// Value returns the data for this entry's row, or nil if there is none.
 	Value func() []byte
-	// Heard takes over what an entry's row holds, which was written some time before.
+	// Heard receives the data in an entry's row and the time since that row was written.
 	Heard func(entry string, value []byte, age time.Duration)
 }
 
 const (
-	// firstLeast and firstMost bound the mean time between tries until the entry is listed.
-	firstLeast = 100 * time.Millisecond
-	firstMost  = 2 * time.Second
-	// renewEach is the number of reads between two renewals.
-	renewEach = 3
+	// retryDelayMin and retryDelayMax bound the mean delay between attempts of the calls that an
+	// entry makes to join the list.
+	retryDelayMin = 100 * time.Millisecond
+	retryDelayMax = 2 * time.Second
+	// readsPerRenewal is the number of reads for each renewal of this entry's row.
+	readsPerRenewal = 3
 	// staleAfter is the number of missed renewals after which a row is ignored.
 	staleAfter = 3
 	// removeAfter is the number of missed renewals after which a row is removed.
 	removeAfter = 10
 )
 
-// Directory keeps one entry's row and reads the others'.
+// Directory maintains this entry's row and reads the rows of the others.
 type Directory struct {
 	settings Settings
 	store    *platform.Store
@@ -83,67 +94,71 @@
 	carried  Carried
 	rec      *events.Recorder
 	now      func() time.Time
-	// soon asks for a renewal.
-	soon chan struct{}
+	// renewRequests holds a request of RenewSoon until this entry's row is written.
+	renewRequests chan struct{}
 
+	// clock is the store's steady clock at the last read, and clockAt the local time of that read.
 	clock   time.Duration
 	clockAt time.Time
 	failing bool
 	// listed is the number of entries that the latest read found.
 	listed int
-	// alone tells that it found no other one.
+	// alone is set when the latest read found no other entry.
 	alone bool
 	bad   badRows
 }
 
-// New returns a Directory.
+// New returns a Directory; Run starts its work.
 func New(settings Settings, store *platform.Store, others Others, carried Carried, rec *events.Recorder, now func() time.Time) *Directory {
-	return &Directory{settings: settings, store: store, others: others, carried: carried, rec: rec, now: now, soon: make(chan struct{}, 1)}
+	return &Directory{settings: settings, store: store, others: others, carried: carried, rec: rec, now: now, renewRequests: make(chan struct{}, 1)}
 }
 
-// RenewSoon writes the own row anew, because what it carries has changed.
+// RenewSoon requests that this entry's row be written again, because the data it carries has
+// changed or the store has lost the row.
 func (d *Directory) RenewSoon() {
 	select {
-	case d.soon <- struct{}{}:
+	case d.renewRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Run renews and reads until ctx ends.
+// Run joins the list of entries, then reads and renews until ctx ends, and removes this entry's row
+// at the end.
 func (d *Directory) Run(ctx context.Context) {
-	d.begin(ctx)
-	owed := false
+	d.join(ctx)
+	renewalDue := false
 	for n := 1; ctx.Err() == nil; n++ {
-		every := d.every()
-		if owed {
-			every = min(every, d.settings.Again)
+		interval := d.readInterval()
+		if renewalDue {
+			interval = min(interval, d.settings.Again)
 		}
 		select {
 		case <-ctx.Done():
 			continue
-		case <-d.soon:
-			owed = true
-		case <-time.After(around(every)):
+		case <-d.renewRequests:
+			renewalDue = true
+		case <-time.After(withJitter(interval)):
 		}
-		listed := d.read(ctx)
-		d.note(listed)
-		if owed || n%renewEach == 0 {
+		readErr := d.read(ctx)
+		d.recordResult(readErr)
+		if renewalDue || n%readsPerRenewal == 0 {
 			err := d.renew(ctx)
-			d.note(err)
-			owed = err != nil
+			d.recordResult(err)
+			renewalDue = err != nil
 		}
 	}
-	d.leave()
+	d.removeOwnRow()
 }
 
-// every is the time between two reads. Entries that are up tell each other of new
-// ones, so the list serves starts and those who lost each other; read by each of 350
-// entries every 10 s it would cost 35 calls a second.
-func (d *Directory) every() time.Duration {
+// readInterval returns the time between two reads. Entries in contact tell each other of new ones,
+// so the table serves only entries that start or have lost contact. If each of 350 entries read it
+// every 10 s, that would cost 35 calls a second.
+func (d *Directory) readInterval() time.Duration {
 	return max(d.settings.Every, time.Duration(d.listed)*d.settings.ReadEach)
 }
 
-func (d *Directory) note(err error) {
+// recordResult records whether the last call failed, and logs the first of consecutive failures.
+func (d *Directory) recordResult(err error) {
 	if (err != nil) != d.failing {
 		d.failing = err != nil
 		if err != nil {
@@ -152,15 +167,17 @@
 	}
 }
 
-// row is the own row at a moment of the store's clock.
+// row returns this entry's row as of clock, a time on the store's steady clock.
 func (d *Directory) row(clock time.Duration) row {
 	e := d.settings.Entry
 	return row{
-		Address: e.Address, RenewedMS: clock.Milliseconds(), RenewsEachMS: (renewEach * d.every()).Milliseconds(),
+		Address: e.Address, RenewedMS: clock.Milliseconds(), RenewsEachMS: (readsPerRenewal * d.readInterval()).Milliseconds(),
 		Relay: e.Relay, Zone: e.Zone, Cores: e.Size.Cores, LinkMbps: e.Size.LinkMbps, Carried: d.carried.Value(),
 	}
 }
 
+// renew writes this entry's row. Its time is the store's clock at the last read, advanced by the
+// local clock.
 func (d *Directory) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.CallWithin)
 	defer cancel()
@@ -172,12 +189,12 @@
 	return d.store.Put(ctx, d.settings.Table, d.settings.Name, value)
 }
 
-// leave takes the own row away in a planned stop; if that fails, the row goes
-// stale.
-func (d *Directory) leave() {
+// removeOwnRow removes this entry's row in a planned stop. If the call fails, the row expires like
+// that of a crashed entry.
+func (d *Directory) removeOwnRow() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.CallWithin)
 	defer cancel()
-	d.note(d.store.Remove(ctx, d.settings.Table, d.settings.Name))
+	d.recordResult(d.store.Remove(ctx, d.settings.Table, d.settings.Name))
 }
 
 func (d *Directory) read(ctx context.Context) error {
@@ -187,26 +204,26 @@
 	if err != nil {
 		return err
 	}
-	old := d.take(s)
-	if len(old) == 0 {
+	expired := d.applySnapshot(s)
+	if len(expired) == 0 {
 		return nil
 	}
-	return d.store.Remove(ctx, d.settings.Table, old...)
+	return d.store.Remove(ctx, d.settings.Table, expired...)
 }
 
-// take takes over the whole table and returns the rows that are long out of date. Rows that
-// cannot be used are left to those who wrote them.
-func (d *Directory) take(s platform.Snapshot) (old []string) {
+// applySnapshot processes the whole table and returns the names of expired rows, which are to be
+// removed. Rows that cannot be used are left in place, since they may belong to another writer.
+func (d *Directory) applySnapshot(s platform.Snapshot) (expired []string) {
 	d.clock, d.clockAt = s.Clock, d.now()
 	listed := make(map[string]roster.Entry, len(s.Records))
-	bad, told := badRows{}, 0
+	bad, logged := badRows{}, 0
 	for _, r := range s.Records {
 		v, err := decodeRow(r.Value)
 		if err != nil {
 			bad[r.Name] = r.Version
-			if d.bad.fresh(r) && told < mostLines {
-				told++
-				d.rec.Note(events.RegisterFailed, "", "row", events.Excerpt(r.Name, mostTold), "version", r.Version, "error", err)
+			if d.bad.isNew(r) && logged < maxBadRowLogs {
+				logged++
+				d.rec.Note(events.RegisterFailed, "", "row", events.Excerpt(r.Name, maxExcerptBytes), "version", r.Version, "error", err)
 			}
 			continue
 		}
@@ -215,7 +232,7 @@
 		}
 		switch missed := v.missed(s.Clock); {
 		case missed > removeAfter:
-			old = append(old, r.Name)
+			expired = append(expired, r.Name)
 		case missed <= staleAfter:
 			listed[r.Name] = v.entry()
 		}
@@ -225,5 +242,5 @@
 	_, own := listed[d.settings.Name]
 	d.alone = d.listed == 0 || own && d.listed == 1
 	d.others.Found(listed)
-	return old
+	return expired
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,13 +14,13 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// fakeStore keeps rows and a steady clock of its own.
+// fakeStore is an in-memory store with its own steady clock.
 type fakeStore struct {
 	rows  map[string][]byte
 	clock time.Duration
 }
 
-func (f *fakeStore) seam() *platform.Store {
+func (f *fakeStore) platformStore() *platform.Store {
 	return &platform.Store{
 		List: func(context.Context, string) (platform.Snapshot, error) {
 			s := platform.Snapshot{Clock: f.clock}
@@ -51,14 +51,14 @@
 	f.rows[name] = b
 }
 
-// TestEntriesThatStartTogether: of two entries that read before either has written
-// its row, one finds the other at once, not at the next regular read.
+// TestEntriesThatStartTogether checks that of two entries which read the list before either has
+// written its row, one finds the other at once and not only at the next regular read.
 func TestEntriesThatStartTogether(t *testing.T) {
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
-	seam := store.seam()
+	seam := store.platformStore()
 	found := make(chan map[string]roster.Entry, 4)
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, CallWithin: time.Second},
-		seam, finds(func(a map[string]roster.Entry) { found <- a }), nothing, events.Nop(), time.Now)
+		seam, othersNeverHeard(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
 	put := seam.Put
 	seam.Put = func(ctx context.Context, table, name string, value []byte) error {
 		// The other entry writes its row at the same time.
@@ -72,18 +72,18 @@
 	select {
 	case got := <-found:
 		if _, ok := got["other"]; !ok {
-			t.Errorf("found %v after the own row was written, want the other entry", got)
+			t.Errorf("found %v after this entry's row was written, want the other entry", got)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the list is not read again after the own row was written")
+		t.Error("the list is not read again after this entry's row was written")
 	}
 }
 
-// TestRefusedRowIsWrittenSoon: an entry whose first row the store refused must not stay
-// out of the list until its next regular renewal.
-func TestRefusedRowIsWrittenSoon(t *testing.T) {
+// TestRefusedFirstRowIsRetriedSoon checks that an entry whose first row the store refused does not
+// stay unlisted until its next regular renewal.
+func TestRefusedFirstRowIsRetriedSoon(t *testing.T) {
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
-	seam := store.seam()
+	seam := store.platformStore()
 	put, tries := seam.Put, 0
 	written := make(chan struct{})
 	seam.Put = func(ctx context.Context, table, name string, value []byte) error {
@@ -94,7 +94,7 @@
 		return put(ctx, table, name, value)
 	}
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Millisecond, CallWithin: time.Second},
-		seam, finds(func(map[string]roster.Entry) {}), nothing, events.Nop(), time.Now)
+		seam, othersNeverHeard(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -105,12 +105,12 @@
 	}
 }
 
-// TestRefusedRenewalIsWrittenSoon: a renewal that the store refused is tried again soon, and not once
-// more after it was taken.
-func TestRefusedRenewalIsWrittenSoon(t *testing.T) {
+// TestRefusedRenewalIsRetriedSoon checks that a refused renewal is retried after the short delay,
+// and that the row is not written again once the store has accepted it.
+func TestRefusedRenewalIsRetriedSoon(t *testing.T) {
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
 	store.add(t, "other", 999*time.Second)
-	seam := store.seam()
+	seam := store.platformStore()
 	put, tries := seam.Put, make(chan int, 100)
 	n := 0
 	seam.Put = func(ctx context.Context, table, name string, value []byte) error {
@@ -122,7 +122,7 @@
 		return put(ctx, table, name, value)
 	}
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Millisecond, CallWithin: time.Second},
-		seam, finds(func(map[string]roster.Entry) {}), nothing, events.Nop(), time.Now)
+		seam, othersNeverHeard(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -140,15 +140,15 @@
 	await("at the start", 1)
 	d.RenewSoon()
 	await("when asked", 2)
-	await("once the store refused it", 3)
+	await("after the store refused it", 3)
 	select {
 	case got := <-tries:
-		t.Errorf("written once more (%d) after the store took it", got)
+		t.Errorf("written again (%d) after the store accepted it", got)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
 
-func TestEntriesFindEachOther(t *testing.T) {
+func TestStaleRowsAreIgnoredAndOldOnesRemoved(t *testing.T) {
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
 	store.add(t, "fresh", 995*time.Second)
 	store.add(t, "stale", 900*time.Second)
@@ -157,7 +157,7 @@
 	at := time.Now()
 	var found map[string]roster.Entry
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: 10 * time.Second, CallWithin: time.Second},
-		store.seam(), finds(func(a map[string]roster.Entry) { found = a }), nothing, events.Nop(), func() time.Time { return at })
+		store.platformStore(), othersNeverHeard(func(a map[string]roster.Entry) { found = a }), nothingCarried, events.Nop(), func() time.Time { return at })
 	if err := d.read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -165,10 +165,10 @@
 		t.Errorf("found %v, want the fresh one", got)
 	}
 	if _, there := store.rows["dead"]; there {
-		t.Error("a row long out of date was left")
+		t.Error("an expired row was not removed")
 	}
 	if _, there := store.rows["stale"]; !there {
-		t.Error("a row a little out of date was removed")
+		t.Error("a stale row was removed before it expired")
 	}
 	at = at.Add(4 * time.Second)
 	if err := d.renew(t.Context()); err != nil {
@@ -176,16 +176,17 @@
 	}
 	var own row
 	if err := json.Unmarshal(store.rows["me"], &own); err != nil || own.RenewedMS != (1004*time.Second).Milliseconds() {
-		t.Errorf("own row %s, %v; want the store's clock carried on", store.rows["me"], err)
+		t.Errorf("this entry's row is %s, %v; want the store's clock advanced by 4 s", store.rows["me"], err)
 	}
-	d.leave()
+	d.removeOwnRow()
 	if _, there := store.rows["me"]; there {
-		t.Error("the own row stays after a planned stop")
+		t.Error("this entry's row remains after a planned stop")
 	}
 }
 
-// TestManyEntriesReadLessOften: the calls of all entries together are bounded, and a
-// row is judged by how often its writer renews it.
+// TestManyEntriesReadLessOften checks that entries read less often the more there are, which bounds
+// the calls of all together, and that a row becomes stale by the renewal interval that its writer
+// states.
 func TestManyEntriesReadLessOften(t *testing.T) {
 	const clock = 1000 * time.Second
 	for _, tc := range []struct {
@@ -203,12 +204,12 @@
 			}
 			var found int
 			d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: 10 * time.Second, ReadEach: 500 * time.Millisecond, CallWithin: time.Second},
-				store.seam(), finds(func(a map[string]roster.Entry) { found = len(a) }), nothing, events.Nop(), time.Now)
+				store.platformStore(), othersNeverHeard(func(a map[string]roster.Entry) { found = len(a) }), nothingCarried, events.Nop(), time.Now)
 			if err := d.read(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			if got := d.every(); got != tc.want {
-				t.Errorf("the list of %d entries is read every %s, want %s", tc.entries, got, tc.want)
+			if got := d.readInterval(); got != tc.want {
+				t.Errorf("the list of %d entries is read every %s, want every %s", tc.entries, got, tc.want)
 			}
 			if err := d.renew(t.Context()); err != nil {
 				t.Fatal(err)
@@ -218,9 +219,9 @@
 					delete(store.rows, name)
 				}
 			}
-			store.clock += staleAfter*renewEach*tc.want - time.Second
+			store.clock += staleAfter*readsPerRenewal*tc.want - time.Second
 			if err := d.read(t.Context()); err != nil || found != 1 {
-				t.Errorf("%d found, %v; want the row that its writer renews every %s", found, err, renewEach*tc.want)
+				t.Errorf("%d entries found, %v; want the one whose row is renewed every %s", found, err, readsPerRenewal*tc.want)
 			}
 		})
 	}
--- a/internal/directory/fuzz_test.go
+++ b/internal/directory/fuzz_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// FuzzDecodeRow: whatever a row holds, it is refused in few words or names an entry.
+// FuzzDecodeRow checks that any row is either rejected with a short error or describes a valid
+// entry.
 func FuzzDecodeRow(f *testing.F) {
 	for _, row := range []string{
 		`{"address":"10.0.0.1:7300","renewed_ms":999000,"renews_each_ms":30000}`,
--- a/internal/directory/together_test.go
+++ b/internal/directory/startup_test.go
@@ -13,33 +13,34 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// crowd is entries that start at the same moment, and a store that takes some rows a second.
-type crowd struct {
+// startupSim simulates a store with a limited write rate and entries that start at the same moment.
+type startupSim struct {
 	mu sync.Mutex
-	// calls counts all, and refused those of them that the store refused.
+	// calls counts all calls to the store, refused the writes that it refused.
 	calls, refused int
 	rows           map[string][]byte
-	// free is when the store takes the next row without delay.
-	free time.Time
-	// hears tells which entries hear another one: who finds one speaks to it.
-	hears map[string]bool
-	began time.Time
+	// nextWrite is when the store accepts the next row without delay.
+	nextWrite time.Time
+	// hasPeer marks the entries that are in contact with another one. An entry contacts those that
+	// it finds.
+	hasPeer map[string]bool
+	began   time.Time
 }
 
 const (
-	// crowdRows is the number of rows that the store takes in a second; it refuses those that
-	// would wait for longer than that.
-	crowdRows = 200
-	// crowdCall is the time that a call takes.
-	crowdCall = 5 * time.Millisecond
-	// crowdWay is the time until an entry that is spoken to hears it.
-	crowdWay = 3 * time.Millisecond
+	// simRowsPerSecond is the write rate of the store, which refuses rows that would wait for
+	// longer than a second.
+	simRowsPerSecond = 200
+	// simCallTime is the duration of a call to the store.
+	simCallTime = 5 * time.Millisecond
+	// simDatagramTime is the delay of a message between entries.
+	simDatagramTime = 3 * time.Millisecond
 )
 
-func (c *crowd) seam() *platform.Store {
+func (c *startupSim) platformStore() *platform.Store {
 	return &platform.Store{
 		List: func(context.Context, string) (platform.Snapshot, error) {
-			time.Sleep(crowdCall)
+			time.Sleep(simCallTime)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.calls++
@@ -50,11 +51,11 @@
 			return s, nil
 		},
 		Put: func(_ context.Context, _, name string, value []byte) error {
-			wait, err := c.takeRow()
+			wait, err := c.reserveWrite()
 			if err != nil {
 				return err
 			}
-			time.Sleep(wait + crowdCall)
+			time.Sleep(wait + simCallTime)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.rows[name] = value
@@ -64,38 +65,38 @@
 	}
 }
 
-// takeRow returns how long a row waits until the store takes it.
-func (c *crowd) takeRow() (wait time.Duration, err error) {
+// reserveWrite returns how long a row waits until the store accepts it.
+func (c *startupSim) reserveWrite() (wait time.Duration, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
 	now := time.Now()
-	if c.free.Before(now) {
-		c.free = now
+	if c.nextWrite.Before(now) {
+		c.nextWrite = now
 	}
-	if wait = c.free.Sub(now); wait > time.Second {
+	if wait = c.nextWrite.Sub(now); wait > time.Second {
 		c.refused++
 		return 0, platform.ErrUnavailable
 	}
-	c.free = c.free.Add(time.Second / crowdRows)
+	c.nextWrite = c.nextWrite.Add(time.Second / simRowsPerSecond)
 	return wait, nil
 }
 
-// others are those of an entry: it speaks to those that it finds.
-func (c *crowd) others(name string, known func()) Others {
+// others returns the callbacks of an entry that contacts those that it finds.
+func (c *startupSim) others(name string, known func()) Others {
 	return Others{
 		Found: func(listed map[string]roster.Entry) {
 			for other := range listed {
 				if other != name {
-					time.AfterFunc(crowdWay, func() { c.hear(name, other) })
+					time.AfterFunc(simDatagramTime, func() { c.markHeard(name, other) })
 				}
 			}
 		},
 		Heard: func() int {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if c.hears[name] {
-				return len(c.hears)
+			if c.hasPeer[name] {
+				return len(c.hasPeer)
 			}
 			return 0
 		},
@@ -103,23 +104,25 @@
 	}
 }
 
-func (c *crowd) hear(names ...string) {
+func (c *startupSim) markHeard(names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		c.hears[name] = true
+		c.hasPeer[name] = true
 	}
 }
 
-// TestHundredsThatStartTogether: each reads the list and writes its row, and few do so again. All
-// know of others soon, and no row is refused by a store that takes some hundred a second.
+// TestHundredsThatStartTogether checks that entries which start at the same moment make few calls,
+// learn of others soon, and have no row refused by a store that accepts a few hundred a second.
+// Without random delays all would write at once.
 func TestHundredsThatStartTogether(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		entries int
-		// first tells that the entries know that all start together.
+		// first tells the entries that all of them start together.
 		first bool
-		// calls is the most for each entry, known the time by which all know of others.
+		// calls is the maximum number of calls per entry, known the time by which all know of
+		// others.
 		calls float64
 		known time.Duration
 	}{
@@ -127,11 +130,11 @@
 		{"a hundred", 103, true, 2.5, 2 * time.Second},
 		{"412", 412, true, 2.2, 2 * time.Second},
 		{"1,000", 1000, true, 2.2, 2 * time.Second},
-		{"412 of which none knows that others start", 412, false, 12, 20 * time.Second},
+		{"412 not told that all start together", 412, false, 12, 20 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &crowd{rows: map[string][]byte{}, hears: map[string]bool{}, began: time.Now()}
+				c := &startupSim{rows: map[string][]byte{}, hasPeer: map[string]bool{}, began: time.Now()}
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				var last time.Duration
@@ -145,13 +148,13 @@
 					go New(Settings{
 						Table: "entries", Name: name, Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Hour, CallWithin: 10 * time.Second,
 						HeardWithin: time.Second, Together: tc.first, TogetherWithin: time.Second, AloneWithin: 300 * time.Millisecond, ToldWithin: 50 * time.Millisecond, WriteEach: 10 * time.Millisecond,
-					}, c.seam(), c.others(name, sync.OnceFunc(known)), nothing, events.Nop(), time.Now).Run(ctx)
+					}, c.platformStore(), c.others(name, sync.OnceFunc(known)), nothingCarried, events.Nop(), time.Now).Run(ctx)
 				}
 				time.Sleep(30 * time.Second)
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if each := float64(c.calls) / float64(tc.entries); each > tc.calls {
-					t.Errorf("%.2f calls for each entry, want %.2f at most", each, tc.calls)
+					t.Errorf("%.2f calls per entry, want %.2f at most", each, tc.calls)
 				}
 				if tc.first && c.refused > 0 {
 					t.Errorf("%d rows were refused", c.refused)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -127,16 +127,16 @@
 mutant routes-unusable-unconfirmed internal/belief/routes.go 's/ && !r\.refused && at/ \&\& at/' internal/belief TestUnusableTableConfirmsNothing
 mutant zones-named platform/store.go 's/return zone, ok && zone != ""/return zone, ok/' platform TestClosedZone
 entry=internal/directory/row.go
-mutant entries-bytes $entry 's/if !utf8\.Valid\(value\) \{/if !utf8.Valid(nil) {/' internal/directory TestEntriesOfOther
-mutant entries-address $entry 's/if err != nil \|\| a\.Port\(\) == 0 \|\| !a\.Addr\(\)\.Is4\(\) \{/if err == nil \&\& a.Port() == 0 {/' internal/directory TestEntriesOfOther
-mutant entries-port $entry 's/ \|\| a\.Port\(\) == 0 \|\|/ ||/' internal/directory TestEntriesOfOther
-mutant entries-family $entry 's/ \|\| !a\.Addr\(\)\.Is4\(\) \{/ {/' internal/directory TestEntriesOfOther
-mutant entries-absent $entry 's/r := row\{RenewedMS: -1\}/r := row{}/' internal/directory TestEntriesOfOther
-mutant entries-times $entry 's/ \|\| r\.RenewedMS > mostMS / /' internal/directory TestEntriesOfOther
-mutant entries-pause $entry 's/ \|\| r\.RenewsEachMS <= 0 / /' internal/directory TestEntriesOfOther
-mutant entries-once $entry 's/return !known \|\| version != r\.Version/return !known || version >= 0/' internal/directory TestBadRowsAreToldOnce
-mutant entries-lines internal/directory/directory.go 's/ && told < mostLines \{/ {/' internal/directory TestBadRowsAreToldOnce
-mutant directory-owed internal/directory/directory.go 's/owed = err != nil/_ = err/' internal/directory TestRefusedRenewal
+mutant entries-bytes $entry 's/if !utf8\.Valid\(value\) \{/if !utf8.Valid(nil) {/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-address $entry 's/if err != nil \|\| a\.Port\(\) == 0 \|\| !a\.Addr\(\)\.Is4\(\) \{/if err == nil \&\& a.Port() == 0 {/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-port $entry 's/ \|\| a\.Port\(\) == 0 \|\|/ ||/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-family $entry 's/ \|\| !a\.Addr\(\)\.Is4\(\) \{/ {/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-absent $entry 's/r := row\{RenewedMS: -1\}/r := row{}/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-times $entry 's/ \|\| r\.RenewedMS > maxClockMS / /' internal/directory TestUnusableRowsAreIgnored
+mutant entries-pause $entry 's/ \|\| r\.RenewsEachMS <= 0 / /' internal/directory TestUnusableRowsAreIgnored
+mutant entries-once $entry 's/return !known \|\| version != r\.Version/return !known || version >= 0/' internal/directory TestBadRowsAreLoggedOncePerVersion
+mutant entries-lines internal/directory/directory.go 's/ && logged < maxBadRowLogs \{/ {/' internal/directory TestBadRowsAreLoggedOncePerVersion
+mutant directory-owed internal/directory/directory.go 's/renewalDue = err != nil/_ = err/' internal/directory TestRefusedRenewal
 
 starts=internal/fleet/starts.go
 mutant start-own-id $starts 's/case born != 0:/case false:/' internal/fleet TestStartUnderAnEarlierName
@@ -206,8 +206,8 @@
 mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.broke\(s\.rq, st\.at, err\)\n//' $gateway TestRequestThatCrashesUpstreams
 mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Hear\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
 mutant held-untold internal/gossip/message.go 's/Suspects: quarantine\.Encode\(s\.Suspects/Suspects: quarantine.Encode(s.Suspects[:0]/' platform/soak TestCrashingRequest
-mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedOver
-mutant held-renewed internal/directory/directory.go 's/\t\t\towed = true\n//' internal/directory TestCarriedOver
+mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedValueSurvives
+mutant held-renewed internal/directory/directory.go 's/\t\t\trenewalDue = true\n//' internal/directory TestCarriedValueSurvives
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
 mutant held-sidecar-starts internal/sidecar/starts.go 's/s\.n, s\.down = s\.n\+1, false/s.down = false/' internal/sidecar TestStartsOfTheUpstream
@@ -233,8 +233,8 @@
 mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
 mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestGenerationThatEndsNoSidecar
 
-mutant first-reads internal/directory/directory.go 's/firstMost  = 2 \* time\.Second/firstMost  = time.Hour/; s/firstLeast = 100 \* time\.Millisecond/firstLeast = time.Hour/' internal/directory TestFirstReadsThatFail
-mutant first-row internal/directory/begin.go 's/\t\t\td\.again\(ctx, d\.renew\)\n\t\t\td\.again\(ctx, d\.read\)\n//' internal/directory TestFirstReadsThatFail
+mutant first-reads internal/directory/directory.go 's/retryDelayMax = 2 \* time\.Second/retryDelayMax = time.Hour/; s/retryDelayMin = 100 \* time\.Millisecond/retryDelayMin = time.Hour/' internal/directory TestFailedFirstReadsAreRetriedSoon
+mutant first-row internal/directory/begin.go 's/\t\t\td\.retry\(ctx, d\.renew\)\n\t\t\td\.retry\(ctx, d\.read\)\n//' internal/directory TestFailedFirstReadsAreRetriedSoon
 
 # What limited upstreams take.
 limits=internal/limits
@@ -275,8 +275,8 @@
 mutant start-asks internal/relay/store.go 's/\tfor range maxAsked \{\n\t\tp, ok, _ := s\.source\(\)\n\t\tif !ok \{/\tfor range maxAsked {\n\t\tp, ok, _ := s.source()\n\t\tif ok || !ok {/' internal/relay TestStartAsksTheDelegate
 mutant start-waits internal/relay/store.go 's/\ts\.awaitListed\(ctx\)\n//' internal/relay TestStartWaitsForTheList
 mutant start-held internal/relay/server.go 's/\t\tcase <-signs\.changed:\n\t\tcase <-end\.C:\n\t\t\treturn nil, err/\t\tcase <-signs.confirmed:\n\t\tdefault:\n\t\t\treturn nil, err/' internal/relay TestStartAsksTheDelegate
-mutant start-together internal/directory/begin.go 's/pause\(ctx, upTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
-mutant start-rows internal/directory/begin.go 's/\t\td\.awaitSoon\(ctx, upTo\([^\n]*\n//; s/\/\/ awaitSoon returns/var _ = (*Directory).awaitSoon\n\n\/\/ awaitSoon returns/' internal/directory TestHundredsThatStartTogether
+mutant start-together internal/directory/begin.go 's/sleep\(ctx, randomUpTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
+mutant start-rows internal/directory/begin.go 's/\t\td\.awaitRenewalRequest\(ctx, randomUpTo\([^\n]*\n//; s/\/\/ awaitRenewalRequest returns/var _ = (*Directory).awaitRenewalRequest\n\n\/\/ awaitRenewalRequest returns/' internal/directory TestHundredsThatStartTogether
 mutant zone-delegates internal/roster/roster.go 's/return entries > directMost/return entries < 0/' internal/relay TestWhoAsksWhom
 mutant zone-size internal/roster/roster.go 's/cmp\.Compare\(b\.Size\.Cores, a\.Size\.Cores\), //' internal/roster TestDelegatesAreTheLargest
 mutant zone-more internal/roster/roster.go 's/\(entries\+zoneEach-1\)\/zoneEach/0*entries/' internal/roster TestWorkForOthersIsBounded
