--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -1,6 +1,7 @@
-// Package membership knows the processes of the system: who they are, how to
-// reach them, and which are leaving, suspected or lost. Peers come from the
-// platform's VM list; liveness is seen on the connections to them.
+// Package membership tracks the other processes of a deployment: their identity, their address, and
+// whether they are leaving, suspected or lost. Entries and sidecars run a Set, which takes the
+// addresses from the platform's VM list, keeps a connection to each process and detects failures by
+// heartbeats on it. A Self answers the heartbeats of the others with the state of its own process.
 package membership
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
-// Role is what a process does.
+// Role tells whether a process is an entry or a sidecar.
 type Role string
 
 // The roles.
@@ -24,27 +25,28 @@
 	RoleSidecar Role = "sidecar"
 )
 
-// Load is a sidecar's word on its upstream, as of a time. Its names are short
-// because it rides on every heartbeat and reply.
+// Load is a sidecar's report on its upstream at one time. The JSON names are short because each
+// heartbeat and reply carries a load.
 type Load struct {
 	Running int `json:"r,omitempty"`
 	Waiting int `json:"w,omitempty"`
 	Paused  int `json:"p,omitempty"`
-	// UsedPermille is the part of KV memory in use, in thousandths.
+	// UsedPermille is the used part of KV memory, in thousandths.
 	UsedPermille int `json:"u,omitempty"`
 	// WaitMS is the expected wait of a new request in milliseconds.
 	WaitMS int64 `json:"q,omitempty"`
-	// OpensMS is until when the upstream takes no new request, in Unix milliseconds; 0 if it
-	// does now.
+	// OpensMS is the time until which the upstream accepts no new request, in Unix milliseconds; 0
+	// if it accepts them now.
 	OpensMS int64 `json:"o,omitempty"`
-	// AtMS is when the sidecar read it, in Unix milliseconds.
+	// AtMS is when the sidecar measured the load, in Unix milliseconds.
 	AtMS int64 `json:"a,omitempty"`
 }
 
-// At returns when the sidecar read the load.
+// At returns when the sidecar measured the load.
 func (l Load) At() time.Time { return time.UnixMilli(l.AtMS) }
 
-// OpensAt returns until when the upstream takes no new request; zero if it does now.
+// OpensAt returns the time until which the upstream accepts no new request; zero if it accepts them
+// now.
 func (l Load) OpensAt() time.Time {
 	if l.OpensMS == 0 {
 		return time.Time{}
@@ -54,13 +56,13 @@
 
 const permille = 1000
 
-// UsedPart returns the part of KV memory in use, from 0 to 1.
+// UsedPart returns the used part of KV memory, from 0 to 1.
 func (l Load) UsedPart() float64 { return float64(l.UsedPermille) / permille }
 
-// Permille returns a part as thousandths.
+// Permille converts a part from 0 to 1 to thousandths.
 func Permille(part float64) int { return int(part * permille) }
 
-// Identity is what a process says of itself.
+// Identity describes one incarnation of a process.
 type Identity struct {
 	process     string
 	role        Role
@@ -79,34 +81,33 @@
 // Process returns the process's name.
 func (i Identity) Process() string { return i.process }
 
-// Role returns what the process does.
+// Role returns whether the process is an entry or a sidecar.
 func (i Identity) Role() Role { return i.role }
 
 // Zone returns the availability zone.
 func (i Identity) Zone() string { return i.zone }
 
-// Upstream returns the upstream beside which a sidecar runs.
+// Upstream returns the upstream that a sidecar serves; it is empty for an entry.
 func (i Identity) Upstream() string { return i.upstream }
 
-// Incarnation returns the identifier that is new at every start.
+// Incarnation returns the identifier of this run of the process, which is new at every start.
 func (i Identity) Incarnation() string { return i.incarnation }
 
 // Started returns when the process started, by its own clock.
 func (i Identity) Started() time.Time { return i.started }
 
-// Status is the part of a process's word that changes.
+// Status is the changing part of what a process reports in its heartbeats.
 type Status struct {
 	Leaving bool
 	Mark    config.Mark
 	Load    Load
-	// Suspects are the requests under which upstreams ended.
+	// Suspects are the requests that were running when upstreams crashed.
 	Suspects []quarantine.Word
 }
 
-// Self answers heartbeats for the own process. Status, Behind and Suspects are seams:
-// Status is read for each answer, Behind is called when a peer shows a higher
-// configuration mark, and Suspects, if set, with what one tells of requests under which
-// upstreams ended.
+// Self answers heartbeats for this process. The daemon sets the functions. Status is called for
+// each ping that is sent or answered, and Behind when a peer reports a higher configuration mark.
+// Suspects may be nil; it receives the suspect requests that another process reports.
 type Self struct {
 	Identity Identity
 	Recorder *events.Recorder
@@ -133,7 +134,7 @@
 type pingParams struct {
 	Mark  config.Mark  `json:"m"`
 	Stamp events.Stamp `json:"t"`
-	// Process is the sender's name, if it is an entry.
+	// Process is the sender's name. It is set only in pings between entries.
 	Process  string                   `json:"p,omitempty"`
 	Suspects []quarantine.Message     `json:"s,omitempty"`
 	Runs     []quarantine.RunsMessage `json:"r,omitempty"`
@@ -148,8 +149,8 @@
 	Runs     []quarantine.RunsMessage `json:"r,omitempty"`
 }
 
-// hear takes over what a process tells of requests under which upstreams ended.
-func (s *Self) hear(process string, messages []quarantine.Message, runs []quarantine.RunsMessage) {
+// receiveSuspects processes the suspect requests that another process reported.
+func (s *Self) receiveSuspects(process string, messages []quarantine.Message, runs []quarantine.RunsMessage) {
 	if s.Suspects == nil || process == "" {
 		return
 	}
@@ -158,7 +159,7 @@
 	s.Suspects(process, words)
 }
 
-// Methods returns the handlers that answer for the own process.
+// Methods returns the handlers for calls about this process.
 func (s *Self) Methods() peer.Methods {
 	return peer.Methods{
 		methodHello: s.hello,
@@ -180,16 +181,15 @@
 		return nil, fmt.Errorf("ping: %w", err)
 	}
 	s.Recorder.Observe(p.Stamp)
-	st := s.Status()
-	if p.Mark > st.Mark && s.Behind != nil {
+	status := s.Status()
+	if p.Mark > status.Mark && s.Behind != nil {
 		go s.Behind(c, p.Mark)
 	}
-	s.hear(p.Process, p.Suspects, p.Runs)
-	return pingResult{Mark: st.Mark, Leaving: st.Leaving, Load: st.Load, Stamp: s.Recorder.Now(), Suspects: quarantine.Encode(st.Suspects, time.Now()), Runs: quarantine.EncodeRuns(st.Suspects)}, nil
+	s.receiveSuspects(p.Process, p.Suspects, p.Runs)
+	return pingResult{Mark: status.Mark, Leaving: status.Leaving, Load: status.Load, Stamp: s.Recorder.Now(), Suspects: quarantine.Encode(status.Suspects, time.Now()), Runs: quarantine.EncodeRuns(status.Suspects)}, nil
 }
 
-// AnnounceLeaving tells all connected peers at once that the own process takes
-// no new work.
+// AnnounceLeaving tells all connected peers that this process accepts no new work.
 func AnnounceLeaving(ctx context.Context, server *peer.Server) {
 	server.Broadcast(ctx, methodLeave, struct{}{})
 }
--- a/internal/membership/set.go
+++ b/internal/membership/set.go
@@ -17,24 +17,22 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
-// Timing are the periods of the membership loops.
+// Timing holds the intervals and timeouts of the membership loops.
 type Timing struct {
-	// List is the time between reads of the VM list.
+	// List is the interval between reads of the VM list.
 	List time.Duration
-	// Heartbeat is the least time between pings on a connection.
+	// Heartbeat is the minimum interval between pings on a connection.
 	Heartbeat time.Duration
-	// Pings bounds the pings a second to all peers together, so that the cost
-	// of a process does not grow with the deployment. What is in use is probed
-	// at once when it is silent; see Probe.
+	// Pings limits the pings per second to all peers together, so that the cost of a process does
+	// not grow with the deployment. A peer in use is probed as soon as it is silent; see Probe.
 	Pings float64
-	// Suspect is how long a ping may stay unanswered before the peer gets no
-	// new work.
+	// Suspect is how long a ping may be unanswered before the peer gets no new work.
 	Suspect time.Duration
-	// Lost is how long before its connection is closed.
+	// Lost is how long a ping may be unanswered before the connection to the peer is closed.
 	Lost time.Duration
 }
 
-// DefaultTiming returns the periods used unless a setting says otherwise.
+// DefaultTiming returns the values that apply unless a setting overrides them.
 func DefaultTiming() Timing {
 	return Timing{
 		List: time.Second, Heartbeat: 500 * time.Millisecond, Pings: 10,
@@ -42,7 +40,7 @@
 	}
 }
 
-// Peer is one process seen from this one.
+// Peer is another process as this one sees it.
 type Peer struct {
 	address string
 
@@ -66,8 +64,7 @@
 // VMZone returns the zone the platform lists for the peer's VM.
 func (p *Peer) VMZone() string { return p.vm.Zone() }
 
-// Identity returns what the peer said of itself; it is zero before the first
-// contact.
+// Identity returns what the peer reported about itself; it is zero before the first connection.
 func (p *Peer) Identity() Identity {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +85,7 @@
 	return p.conn != nil && !p.leaving && !p.suspected && !p.vm.Leaving()
 }
 
-// Leaving reports whether the peer or the platform said that it leaves.
+// Leaving reports whether the peer or the platform announced that the peer is leaving.
 func (p *Peer) Leaving() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +99,7 @@
 	return p.load
 }
 
-// SetLoad takes a newer load, from a reply.
+// SetLoad stores a load from a reply if it is newer than the known one.
 func (p *Peer) SetLoad(l Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,40 +115,40 @@
 	return p.mark
 }
 
-// Set is the processes known to this one.
+// Set holds the processes on the VM list and the connections to them.
 type Set struct {
 	self    *Self
 	vms     *platform.VMs
 	timing  Timing
 	methods peer.Methods
-	// after calls f in its own goroutine once d has passed, unless stop comes first.
-	after func(d time.Duration, f func()) (stop func() bool)
-	mu    sync.Mutex
-	peers map[string]*Peer
-	// runCtx ends the connections; it is set by Run.
+	// afterFunc calls f in its own goroutine after d, unless stop is called first. Tests replace
+	// it.
+	afterFunc func(d time.Duration, f func()) (stop func() bool)
+	mu        sync.Mutex
+	peers     map[string]*Peer
+	// runCtx is the context of Run, with which the connections end; nil before Run.
 	runCtx context.Context
 	wg     sync.WaitGroup
-	// reads counts the reads of the VM list as they begin; taken is the number of the
-	// one whose list was taken last.
-	reads, taken int64
+	// reads counts the reads of the VM list that have begun. applied is the number of the read
+	// whose list is in use.
+	reads, applied int64
 }
 
-// NewSet returns an empty set. methods answer what peers send over the
-// connections that this process opens.
+// NewSet returns an empty set. methods handle calls that peers make over the connections that this
+// process opens.
 func NewSet(self *Self, vms *platform.VMs, timing Timing, methods peer.Methods) *Set {
 	s := &Set{self: self, vms: vms, timing: timing, peers: map[string]*Peer{}}
-	s.after = func(d time.Duration, f func()) func() bool { return time.AfterFunc(d, f).Stop }
+	s.afterFunc = func(d time.Duration, f func()) func() bool { return time.AfterFunc(d, f).Stop }
 	s.methods = maps.Clone(methods)
 	if s.methods == nil {
 		s.methods = peer.Methods{}
 	}
 	maps.Copy(s.methods, self.Methods())
-	s.methods[methodLeave] = s.peerLeaves
+	s.methods[methodLeave] = s.handleLeaving
 	return s
 }
 
-// Run reads the VM list and keeps connections to all processes on it until ctx
-// ends.
+// Run reads the VM list and keeps a connection to each process on it until ctx ends.
 func (s *Set) Run(ctx context.Context) {
 	tick := time.NewTicker(s.timing.List)
 	defer tick.Stop()
@@ -171,7 +168,7 @@
 	}
 }
 
-// Refresh reads the VM list now. It does nothing before Run.
+// Refresh reads the VM list now. Before Run it applies nothing.
 func (s *Set) Refresh(ctx context.Context) error {
 	s.mu.Lock()
 	s.reads++
@@ -183,16 +180,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Reads run beside each other. A list from before the one that was taken lacks
-	// processes that are connected by now, and must not end their connections.
-	if s.runCtx == nil || read < s.taken {
+	// Reads may overlap. A list older than the one in use may lack processes that are connected by
+	// now, and would close their connections.
+	if s.runCtx == nil || read < s.applied {
 		return nil
 	}
-	s.taken = read
+	s.applied = read
 	seen := map[string]bool{}
 	for _, vm := range vms {
 		seen[vm.Address()] = true
-		s.learn(s.runCtx, vm)
+		s.addVM(s.runCtx, vm)
 	}
 	for addr, p := range s.peers {
 		if !seen[addr] {
@@ -203,12 +200,12 @@
 	return nil
 }
 
-func (s *Set) learn(ctx context.Context, vm platform.VM) {
+func (s *Set) addVM(ctx context.Context, vm platform.VM) {
 	p, ok := s.peers[vm.Address()]
 	if !ok {
 		p = &Peer{address: vm.Address(), vm: vm, probe: make(chan struct{}, 1)}
 		s.peers[vm.Address()] = p
-		s.wg.Go(func() { s.keep(ctx, p) })
+		s.wg.Go(func() { s.maintain(ctx, p) })
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,11 +221,11 @@
 	}
 }
 
-// keep holds a connection to p while it is on the list.
-func (s *Set) keep(ctx context.Context, p *Peer) {
+// maintain keeps a connection to p while p is on the list.
+func (s *Set) maintain(ctx context.Context, p *Peer) {
 	for ctx.Err() == nil && s.listed(p) {
 		if err := s.connect(ctx, p); err == nil {
-			s.watch(ctx, p)
+			s.heartbeatLoop(ctx, p)
 		}
 		select {
 		case <-ctx.Done():
@@ -270,10 +267,10 @@
 
 type peerKey struct{}
 
-// watch pings until the connection ends or stays silent too long.
-func (s *Set) watch(ctx context.Context, p *Peer) {
+// heartbeatLoop pings p until the connection ends or a ping times out.
+func (s *Set) heartbeatLoop(ctx context.Context, p *Peer) {
 	c := p.Conn()
-	for s.beat(ctx, p, c) {
+	for s.heartbeat(ctx, p, c) {
 		select {
 		case <-ctx.Done():
 		case <-c.Done():
@@ -293,8 +290,8 @@
 	}
 }
 
-// interval is the time until the next ping to one peer, spread at random so
-// that peers learned at the same time are not pinged at the same time.
+// interval returns the time until the next ping to one peer. It is random, so that peers that were
+// listed at the same time are not pinged at the same time.
 func (s *Set) interval() time.Duration {
 	mean := s.meanInterval()
 	return mean/2 + rand.N(mean)
@@ -310,8 +307,8 @@
 	return max(s.timing.Heartbeat, time.Duration(float64(n)/s.timing.Pings*float64(time.Second)))
 }
 
-// Probe pings the peer at once. It is for those who wait for the peer and hear
-// nothing: their wait is the cheapest sign that something may be wrong.
+// Probe pings the peer at once. Callers that wait too long for a reply of the peer use it: their
+// wait is the cheapest sign that the peer may have failed.
 func (p *Peer) Probe() {
 	select {
 	case p.probe <- struct{}{}:
@@ -319,7 +316,8 @@
 	}
 }
 
-// ProbeEntries pings all entries at once, which tells them what they are to know.
+// ProbeEntries pings all entries at once, which delivers this process's status to them without
+// delay.
 func (s *Set) ProbeEntries() {
 	for _, p := range s.Peers() {
 		if p.Identity().role == RoleEntry {
@@ -328,19 +326,20 @@
 	}
 }
 
-// Suspected reports whether a ping to the peer is unanswered for too long.
+// Suspected reports whether a ping to the peer has been unanswered for too long, or no connection
+// is open.
 func (p *Peer) Suspected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.suspected || p.conn == nil
 }
 
-// beat sends one ping. It returns false when the connection is to be given up.
-func (s *Set) beat(ctx context.Context, p *Peer, c *peer.Conn) bool {
-	// over is guarded by the peer's lock. Stopping the timer does not reach a callback
-	// that has begun, and that must not undo what the answer set.
-	over := false
-	stop := s.after(s.timing.Suspect, func() { s.suspect(p, &over) })
+// heartbeat sends one ping. It returns false when the connection is to be closed.
+func (s *Set) heartbeat(ctx context.Context, p *Peer, c *peer.Conn) bool {
+	// finished is guarded by the peer's lock. Stopping the timer does not stop a callback that has
+	// already begun, and that callback must not suspect a peer whose answer was processed.
+	finished := false
+	stop := s.afterFunc(s.timing.Suspect, func() { s.suspect(p, &finished) })
 	defer stop()
 	callCtx, cancel := context.WithTimeout(ctx, s.timing.Lost)
 	defer cancel()
@@ -355,11 +354,11 @@
 	}
 	err := c.Call(callCtx, methodPing, params, &r)
 	if entry && err == nil {
-		s.self.hear(p.Identity().process, r.Suspects, r.Runs)
+		s.self.receiveSuspects(p.Identity().process, r.Suspects, r.Runs)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	over = true
+	finished = true
 	if err != nil {
 		return false
 	}
@@ -376,10 +375,10 @@
 	return true
 }
 
-// suspect takes new work away from p, unless the ping that it is about is over.
-func (s *Set) suspect(p *Peer, over *bool) {
+// suspect marks p as suspected, so that it gets no new work, unless the ping has finished.
+func (s *Set) suspect(p *Peer, finished *bool) {
 	p.mu.Lock()
-	if *over {
+	if *finished {
 		p.mu.Unlock()
 		return
 	}
@@ -388,7 +387,7 @@
 	s.self.Recorder.Note(events.PeerSuspected, "", "peer", p.Identity().Process())
 }
 
-func (s *Set) peerLeaves(_ context.Context, c *peer.Conn, _ json.RawMessage) (any, error) {
+func (s *Set) handleLeaving(_ context.Context, c *peer.Conn, _ json.RawMessage) (any, error) {
 	p, ok := c.Attached(peerKey{}).(*Peer)
 	if !ok {
 		return nil, nil
@@ -400,7 +399,7 @@
 	return nil, nil
 }
 
-// Peers returns all listed peers, by address.
+// Peers returns all listed peers, sorted by address.
 func (s *Set) Peers() []*Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -409,7 +408,7 @@
 	return out
 }
 
-// Listed reports whether the VM list shows a VM by the name.
+// Listed reports whether the VM list contains a VM of that name.
 func (s *Set) Listed(vm string) bool {
 	for _, p := range s.Peers() {
 		if p.VMName() == vm {
@@ -419,8 +418,8 @@
 	return false
 }
 
-// Upstream returns the peer beside the named upstream: of several that claim
-// it, the one that started last.
+// Upstream returns the connected peer that serves the named upstream. If several peers claim it,
+// the one that started last is returned.
 func (s *Set) Upstream(name string) (*Peer, bool) {
 	var best *Peer
 	for _, p := range s.Peers() {
--- a/internal/membership/set_test.go
+++ b/internal/membership/set_test.go
@@ -12,11 +12,11 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// A peer answers a ping at the moment at which it would be suspected: the timer's
-// callback has begun, and stopping the timer does not reach it. It suspected the peer
-// after the answer had been taken, so that requests that waited for the peer were
-// taken away from it and no new ones came until the next ping.
-func TestAnsweredPingLeavesNoSuspicion(t *testing.T) {
+// TestAnsweredPingIsNotUndoneByLateTimer guards against a peer that is suspected although it
+// answered: if the answer arrives just as the suspicion timer fires, stopping the timer does not
+// stop its callback. A suspicion after the answer would take waiting requests away from the peer
+// and keep new ones from it until the next ping.
+func TestAnsweredPingIsNotUndoneByLateTimer(t *testing.T) {
 	self := &Self{Identity: NewIdentity("e", RoleEntry, "a", "", "i", time.Now()), Recorder: events.Nop(), Status: func() Status { return Status{} }}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,9 +26,9 @@
 	server.Start()
 	t.Cleanup(server.Close)
 	s := NewSet(self, nil, DefaultTiming(), nil)
-	var late []func()
-	s.after = func(_ time.Duration, f func()) func() bool {
-		late = append(late, f)
+	var timerCallbacks []func()
+	s.afterFunc = func(_ time.Duration, f func()) func() bool {
+		timerCallbacks = append(timerCallbacks, f)
 		return func() bool { return false }
 	}
 	p := &Peer{address: server.Addr()}
@@ -37,11 +37,11 @@
 	}
 	t.Cleanup(p.close)
 	for range 2 {
-		if !s.beat(t.Context(), p, p.Conn()) {
+		if !s.heartbeat(t.Context(), p, p.Conn()) {
 			t.Fatal("the ping got no answer")
 		}
 	}
-	for _, f := range late {
+	for _, f := range timerCallbacks {
 		f()
 	}
 	if p.Suspected() || !p.Usable() {
@@ -49,20 +49,21 @@
 	}
 }
 
-// A ping stays unanswered until the peer is suspected, and is answered then.
+// TestSilentPeerIsSuspectedUntilItAnswers checks that a peer is suspected while its ping is
+// unanswered, and no longer once the answer arrives.
 func TestSilentPeerIsSuspectedUntilItAnswers(t *testing.T) {
 	self := &Self{Identity: NewIdentity("e", RoleEntry, "a", "", "i", time.Now()), Recorder: events.Nop(), Status: func() Status { return Status{} }}
 	s := NewSet(self, nil, DefaultTiming(), nil)
-	silent := make(chan func(), 1)
-	s.after = func(_ time.Duration, f func()) func() bool {
-		silent <- f
+	timerCallback := make(chan func(), 1)
+	s.afterFunc = func(_ time.Duration, f func()) func() bool {
+		timerCallback <- f
 		return func() bool { return true }
 	}
 	p := &Peer{}
 	suspected := false
 	methods := self.Methods()
 	methods[methodPing] = func(context.Context, *peer.Conn, json.RawMessage) (any, error) {
-		(<-silent)()
+		(<-timerCallback)()
 		suspected = p.Suspected()
 		return pingResult{}, nil
 	}
@@ -78,7 +79,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.close)
-	if !s.beat(t.Context(), p, p.Conn()) {
+	if !s.heartbeat(t.Context(), p, p.Conn()) {
 		t.Fatal("the ping got no answer")
 	}
 	if !suspected {
@@ -89,11 +90,10 @@
 	}
 }
 
-// The list of VMs is read twice at a time, as beside a change of the configuration. The
-// read that began first came back last, with a list from before a VM was there. It was
-// taken for the newest, and the connection to that VM's process was closed with all that
-// ran over it.
-func TestOlderListOfVMsClosesNoConnection(t *testing.T) {
+// TestStaleVMListClosesNoConnection guards against a late result of an older read of the VM list.
+// Reads overlap, for example during a change of the configuration. A list from before a VM existed
+// must not replace a newer one, or the connection to that VM's process would be closed.
+func TestStaleVMListClosesNoConnection(t *testing.T) {
 	self := &Self{Identity: NewIdentity("e", RoleEntry, "a", "", "i", time.Now()), Recorder: events.Nop(), Status: func() Status { return Status{} }}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
