--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -277,9 +277,9 @@
 mutant start-held internal/relay/server.go 's/\t\tcase <-signs\.changed:\n\t\tcase <-end\.C:\n\t\t\treturn nil, err/\t\tcase <-signs.confirmed:\n\t\tdefault:\n\t\t\treturn nil, err/' internal/relay TestStartAsksTheDelegate
 mutant start-together internal/directory/begin.go 's/sleep\(ctx, randomUpTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
 mutant start-rows internal/directory/begin.go 's/\t\td\.awaitRenewalRequest\(ctx, randomUpTo\([^\n]*\n//; s/\/\/ awaitRenewalRequest returns/var _ = (*Directory).awaitRenewalRequest\n\n\/\/ awaitRenewalRequest returns/' internal/directory TestHundredsThatStartTogether
-mutant zone-delegates internal/roster/roster.go 's/return entries > directMost/return entries < 0/' internal/relay TestWhoAsksWhom
+mutant zone-delegates internal/roster/roster.go 's/return entries > maxDirectEntries/return entries < 0/' internal/relay TestWhoAsksWhom
 mutant zone-size internal/roster/roster.go 's/cmp\.Compare\(b\.Size\.Cores, a\.Size\.Cores\), //' internal/roster TestDelegatesAreTheLargest
-mutant zone-more internal/roster/roster.go 's/\(entries\+zoneEach-1\)\/zoneEach/0*entries/' internal/roster TestWorkForOthersIsBounded
+mutant zone-more internal/roster/roster.go 's/\(entries\+entriesPerDelegate-1\)\/entriesPerDelegate/0*entries/' internal/roster TestEntriesPerDelegateAreBounded
 mutant zone-confirmed internal/relay/server.go 's/case <-signs\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationIsPassedOnAtOnce
 mutant zone-turns internal/relay/turns.go 's/turnsMost = 32/turnsMost = 1 << 20/' internal/relay TestTurnsOfHundreds
 mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.UrgeEach()/' internal/gossip TestEntryThatAppears
