--- a/internal/belief/anchor.go
+++ b/internal/belief/anchor.go
@@ -8,15 +8,15 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// Anchored returns a store whose answers tell, in this process's steady time,
-// when they were made.
+// Anchored returns a store whose answers carry the time at which the store produced them, on this
+// process's steady clock. The time is a lower bound.
 func Anchored(store *platform.Store, now func() time.Time) *platform.Store {
 	var mu sync.Mutex
 	var a anchor
-	note := func(s platform.Snapshot, sent time.Time) platform.Snapshot {
+	stamp := func(s platform.Snapshot, sent time.Time) platform.Snapshot {
 		mu.Lock()
 		defer mu.Unlock()
-		s.Made = a.note(s.Clock, sent, now())
+		s.Made = a.observe(s.Clock, sent, now())
 		return s
 	}
 	out := *store
@@ -26,7 +26,7 @@
 		if err != nil {
 			return s, err
 		}
-		return note(s, sent), nil
+		return stamp(s, sent), nil
 	}
 	out.Changes = func(ctx context.Context, table string, after int64, wait time.Duration) (platform.Snapshot, error) {
 		sent := now()
@@ -34,32 +34,31 @@
 		if err != nil {
 			return s, err
 		}
-		return note(s, sent), nil
+		return stamp(s, sent), nil
 	}
 	return &out
 }
 
-// anchor relates the store's steady clock to the process's. A call that the
-// store holds for changes is answered long after it was sent; the store's clock
-// in the answer, measured from that of a quick answer, tells when it was made.
+// anchor relates the store's steady clock to that of this process. An answer to a call that the
+// store holds for changes arrives long after the call was sent. The store's clock in it, compared
+// with that of a quick answer, shows when it was produced.
 type anchor struct {
 	clock time.Duration
-	// at is a steady time that is not after the moment at which the store's
-	// clock read clock.
+	// at is a local steady time that is not after the moment at which the store's clock read clock.
 	at  time.Time
 	set bool
 }
 
-// note takes over an answer that shows the store's clock and returns a steady
-// time that is not after the moment the answer was made.
-func (a *anchor) note(clock time.Duration, sent, received time.Time) time.Time {
+// observe processes the store's clock of an answer and returns a local steady time that is not
+// after the moment at which the answer was produced.
+func (a *anchor) observe(clock time.Duration, sent, received time.Time) time.Time {
 	if !a.set || clock < a.clock {
 		a.clock, a.at, a.set = clock, sent, true
 		return sent
 	}
 	made := a.at.Add(clock - a.clock)
 	if made.After(received) {
-		// The clocks disagree; the time of sending is true whatever they read.
+		// The clocks disagree. The answer was produced after its call was sent, whatever they read.
 		a.clock, a.at = clock, sent
 		return sent
 	}
--- a/internal/belief/anchor_test.go
+++ b/internal/belief/anchor_test.go
@@ -19,8 +19,8 @@
 		name    string
 		answers []answer
 	}{
-		{"the first answer counts from its sending", []answer{{clock(500), at(0), at(4), at(0)}}},
-		{"a held answer counts from when it was made", []answer{
+		{"the first answer counts from when its call was sent", []answer{{clock(500), at(0), at(4), at(0)}}},
+		{"a held answer counts from when it was produced", []answer{
 			{clock(500), at(0), at(4), at(0)},
 			{clock(1900), at(4), at(1405), at(1400)},
 		}},
@@ -29,11 +29,11 @@
 			{clock(1000), at(600), at(604), at(600)},
 			{clock(2000), at(700), at(1700), at(1600)},
 		}},
-		{"a clock that starts anew is not measured from", []answer{
+		{"a store clock that restarts resets the anchor", []answer{
 			{clock(500), at(0), at(4), at(0)},
 			{clock(10), at(100), at(1105), at(100)},
 		}},
-		{"a clock that runs ahead never confirms the future", []answer{
+		{"a store clock that jumps ahead yields no time in the future", []answer{
 			{clock(500), at(0), at(4), at(0)},
 			{clock(9000), at(100), at(1105), at(100)},
 		}},
@@ -41,8 +41,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var a anchor
 			for i, x := range tc.answers {
-				if got := a.note(x.clock, x.sent, x.received); !got.Equal(x.want) {
-					t.Errorf("answer %d: made at %s, want %s", i, got.Sub(start), x.want.Sub(start))
+				if got := a.observe(x.clock, x.sent, x.received); !got.Equal(x.want) {
+					t.Errorf("answer %d: produced at %s, want %s", i, got.Sub(start), x.want.Sub(start))
 				}
 			}
 		})
--- a/internal/belief/behind.go
+++ b/internal/belief/behind.go
@@ -7,33 +7,36 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// behindFor is how long others may know a later route table before it is asked for.
-const behindFor = 700 * time.Millisecond
+// askDelay is how long others may have a later route table before this entry asks for it.
+const askDelay = 700 * time.Millisecond
 
-// Behind tells when an entry has known an older route table than others for too long. The zero value
-// is ready to use.
+// Behind detects that an entry has had an older route table than others for too long. The zero
+// value is ready to use.
 type Behind struct {
 	mu sync.Mutex
-	// since is since when others are heard with a later table than own; zero if none is.
-	since time.Time
-	own   routetable.Version
+	// behindSince is when another entry first reported a table later than own, or when that table
+	// was last asked for; zero if there was none.
+	behindSince time.Time
+	own         routetable.Version
 }
 
-// Hear takes over which version another entry has in force beside the own one, which was last
-// confirmed at a steady time, and reports whether to ask it for its table, once in each behindFor. A
-// change that is on its way is not asked for: the store has not said since that there is none.
+// Hear processes the version of the route table that another entry has in force and reports whether
+// to ask it for its table, at most once per askDelay. own is the version in force here, which the
+// store last confirmed as the newest at the steady time confirmed. A change that the store is still
+// delivering is not asked for: the store must have confirmed own after another entry
+// reported the later table.
 func (b *Behind) Hear(own, heard routetable.Version, confirmed, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case heard <= own:
 		return false
-	case b.since.IsZero() || b.own != own:
-		b.since, b.own = now, own
+	case b.behindSince.IsZero() || b.own != own:
+		b.behindSince, b.own = now, own
 		return false
-	case now.Sub(b.since) < behindFor || !confirmed.After(b.since):
+	case now.Sub(b.behindSince) < askDelay || !confirmed.After(b.behindSince):
 		return false
 	}
-	b.since = now
+	b.behindSince = now
 	return true
 }
--- a/internal/belief/behind_test.go
+++ b/internal/belief/behind_test.go
@@ -9,9 +9,10 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// An entry that started after the store came back with an older route table went by that one until
-// the later one was written again, although all others had it in force.
-func TestEntryThatStartsAfterAReturnLearnsTheLaterTable(t *testing.T) {
+// TestEntryStartedAfterARestoreLearnsTheLaterTable guards against an entry that starts after the
+// store was restored with an older route table. Unless it learns the later table from the other
+// entries, it uses the older one until the later one is written again.
+func TestEntryStartedAfterARestoreLearnsTheLaterTable(t *testing.T) {
 	row := func(version int64, text string) platform.Record {
 		return platform.Record{Name: "config", Version: version, Value: []byte(text)}
 	}
@@ -23,7 +24,7 @@
 	}
 	up := newRoutes(whole(row(9, "59")))
 	if _, ok := up.Kept(); ok {
-		t.Error("a row is kept although the store has it")
+		t.Error("a row is kept although the store holds it")
 	}
 	up.Apply(platform.Snapshot{Restored: true, Records: []platform.Record{row(5, "52")}}, true)
 	kept, ok := up.Kept()
@@ -36,40 +37,40 @@
 		t.Errorf("version %d is in force, want 59", table.Version())
 	}
 	if kept, ok := started.Kept(); !ok || string(kept.Value) != "59" {
-		t.Error("it does not pass the later table on")
+		t.Error("the entry that learned the later table does not keep its row")
 	}
 	started.Learn("other", []platform.Record{row(5, "52"), row(6, "x"), {Name: "other", Value: []byte("70")}})
 	if table, _ := started.Current(); table.Version() != 59 {
-		t.Errorf("version %d is in force after older and unreadable ones, want 59", table.Version())
+		t.Errorf("version %d is in force after older and invalid tables, want 59", table.Version())
 	}
 	for _, r := range []*Routes{up, started} {
 		r.Apply(whole(row(8, "59")), false)
 		if _, ok := r.Kept(); ok {
-			t.Error("a row is kept although the store has it again")
+			t.Error("a row is kept although the store holds it again")
 		}
 	}
 }
 
-func TestBehindAsksOnlyAfterATime(t *testing.T) {
+func TestBehindAsksOnlyAfterADelay(t *testing.T) {
 	var b Behind
 	at := time.Now()
 	for _, tc := range []struct {
 		name       string
 		own, heard int
 		after      time.Duration
-		// unconfirmed is how long ago the store last said that the own table is the newest.
+		// unconfirmed is how long ago the store last confirmed the version in force as the newest.
 		unconfirmed time.Duration
 		want        bool
 	}{
-		{"the same", 5, 5, 0, 0, false},
-		{"a later one", 5, 6, 0, 0, false},
-		{"soon", 5, 6, behindFor / 2, 0, false},
-		{"a change on its way", 5, 6, behindFor, 2 * behindFor, false},
-		{"after the time", 5, 7, 0, 0, true},
-		{"once", 5, 7, 0, 0, false},
-		{"an older one", 5, 4, behindFor, 0, false},
-		{"again", 5, 7, behindFor, 0, true},
-		{"caught up, then behind again", 7, 8, behindFor, 0, false},
+		{"same version", 5, 5, 0, 0, false},
+		{"later version", 5, 6, 0, 0, false},
+		{"later version before the delay has passed", 5, 6, askDelay / 2, 0, false},
+		{"the store is still delivering the change", 5, 6, askDelay, 2 * askDelay, false},
+		{"after the delay", 5, 7, 0, 0, true},
+		{"directly after it was asked for", 5, 7, 0, 0, false},
+		{"older version", 5, 4, askDelay, 0, false},
+		{"after another delay", 5, 7, askDelay, 0, true},
+		{"behind again after catching up", 7, 8, askDelay, 0, false},
 	} {
 		at = at.Add(tc.after)
 		if got := b.Hear(routetable.Version(tc.own), routetable.Version(tc.heard), at.Add(-tc.unconfirmed), at); got != tc.want {
--- a/internal/belief/fault_test.go
+++ b/internal/belief/fault_test.go
@@ -9,9 +9,9 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// A table that this program fails over ended each entry that read it, and again at its next
-// start: decoders return errors for what they know, and a panic of one ended the process.
-func TestTableThatEndsNoReader(t *testing.T) {
+// TestPanickingDecoderKeepsTheLastTable checks that a panic of the decoder counts as an invalid
+// table. Otherwise such a table would crash each entry that reads it, and again after each restart.
+func TestPanickingDecoderKeepsTheLastTable(t *testing.T) {
 	r := NewRoutes("config", func(value []byte) (*routetable.Table, error) {
 		return routetable.New(routetable.Version(value[0]), nil, nil, routetable.Limits{}, nil), nil
 	}, events.Nop(), time.Now)
@@ -23,8 +23,9 @@
 	}
 }
 
-// A key that only an unusable table takes away was served for as long as that table stood: each
-// answer of the store confirmed the one before it as the newest.
+// TestUnusableTableConfirmsNothing checks that answers of the store do not confirm the table in
+// force while a later one cannot be used. Otherwise a key that only the unusable table revokes
+// would be accepted for as long as that table is stored.
 func TestUnusableTableConfirmsNothing(t *testing.T) {
 	r := NewRoutes("config", func(value []byte) (*routetable.Table, error) {
 		return routetable.New(routetable.Version(value[0]), nil, nil, routetable.Limits{}, nil), nil
@@ -41,11 +42,11 @@
 	}
 	offer(1, 7)
 	r.ConfirmCurrent(start)
-	expect("a good table", start)
+	expect("a valid table", start)
 	offer(2)
 	r.ConfirmCurrent(start.Add(time.Second))
-	expect("an unusable one", start)
+	expect("an unusable table", start)
 	offer(3, 8)
 	r.ConfirmCurrent(start.Add(2 * time.Second))
-	expect("a good one again", start.Add(2*time.Second))
+	expect("a valid table again", start.Add(2*time.Second))
 }
--- a/internal/belief/follower.go
+++ b/internal/belief/follower.go
@@ -1,6 +1,8 @@
-// Package belief keeps what a process believes about a table of the store
-// together with how old that belief is: the store's version and the steady time
-// at which it was last confirmed to be the newest.
+// Package belief follows tables of the store and records how current the local state is: the
+// store's version, and the steady time at which that version was last confirmed to be the newest.
+// The gateway daemon runs a Follower for each table, which long-polls the store for changes. Routes
+// and Zones hold the route table and the closed zones that the answers contain. The route table in
+// force never goes back to an older version, even if the store is restored from a backup.
 package belief
 
 import (
@@ -15,29 +17,28 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// Settings are the fixed numbers of a Follower.
+// Settings holds the fixed parameters of a Follower.
 type Settings struct {
-	// Table is the table followed.
+	// Table is the table to follow.
 	Table string
-	// Wait is how long the store holds a call for changes. It bounds how often
-	// the belief is confirmed while nothing changes.
+	// Wait is how long the store may hold a call for changes. It bounds the interval between
+	// confirmations while nothing changes.
 	Wait time.Duration
-	// Slack is the time beyond Wait after which a call is given up.
+	// Slack is added to Wait for the timeout of a call.
 	Slack time.Duration
-	// ListWithin is the time after which a read of the whole table is given up, which
-	// may take as many calls as the table has pages.
+	// ListWithin is the timeout of a read of the whole table, which may take a call for each page.
 	ListWithin time.Duration
-	// PauseLeast and PauseMost bound the back-off after failed calls.
+	// PauseLeast and PauseMost bound the backoff after failed calls.
 	PauseLeast time.Duration
 	PauseMost  time.Duration
-	// SettleFor is how long after an outage the rows may still be incomplete:
-	// rows that lapsed while the store was away need time to come back.
+	// SettleFor is how long after an outage the table may still lack rows: rows that expired while
+	// the store was unavailable need time to be written again.
 	SettleFor time.Duration
-	// RestoreFor is how long after the store came back from an older copy its rows may still
-	// be written again. Then the whole table is read once more.
+	// RestoreFor is how long after a restore of the store from a backup lost rows may still be
+	// written again. After that the whole table is read once more.
 	RestoreFor time.Duration
-	// Gather is the pause after an answer with changes: those that come close
-	// together share a call. While changes go on coming it doubles, up to GatherMost.
+	// Gather is the pause after an answer with changes, so that changes close together share a
+	// call. It doubles while changes keep coming, up to GatherMost.
 	Gather     time.Duration
 	GatherMost time.Duration
 }
@@ -48,7 +49,7 @@
 	store    *platform.Store
 	apply    func(s platform.Snapshot, full bool)
 	confirm  func(at time.Time)
-	lost     func()
+	onLost   func()
 	rec      *events.Recorder
 	now      func() time.Time
 	sleep    func(ctx context.Context, d time.Duration)
@@ -60,19 +61,18 @@
 	confirmed time.Time
 	failures  int
 	settled   time.Time
-	// listAt is when the whole table is to be read once more; zero for not.
-	listAt    time.Time
+	// relistAt is when the whole table is to be read again; zero if that is not planned.
+	relistAt  time.Time
 	interrupt context.CancelFunc
-	// busy counts the answers with changes that came in quick succession.
-	busy int
+	// burst counts the answers with changes that came in quick succession.
+	burst int
 }
 
-// New returns a Follower that hands each answer to apply, where full marks one
-// that holds the whole table, and then tells confirm the steady time for which
-// all that was applied is known to be the newest. It calls lost when the store
-// stops answering.
+// New returns a Follower. It passes each answer to apply, where full marks an answer that holds the
+// whole table. It then calls confirm with the steady time at which everything applied so far was
+// known to be the newest. It calls lost when the store stops answering.
 func New(settings Settings, store *platform.Store, apply func(s platform.Snapshot, full bool), confirm func(at time.Time), lost func(), rec *events.Recorder, now func() time.Time) *Follower {
-	return &Follower{settings: settings, store: store, apply: apply, confirm: confirm, lost: lost, rec: rec, now: now, sleep: sleep}
+	return &Follower{settings: settings, store: store, apply: apply, confirm: confirm, onLost: lost, rec: rec, now: now, sleep: sleep}
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -84,25 +84,24 @@
 	}
 }
 
-// Confirmed returns the steady time at which the belief was last known to be
-// the newest; the zero time if it never was.
+// Confirmed returns the steady time at which the local state was last known to be the newest; zero
+// if it never was.
 func (f *Follower) Confirmed() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmed
 }
 
-// Settled returns the time from which missing rows are to be taken as gone. It
-// lies in the future for a while after an outage; during one it is zero and ok
-// is false.
+// Settled returns the time from which missing rows count as removed. After an outage or a restore
+// it lies in the future for a while, since rows may be written again. ok is false during an outage.
 func (f *Follower) Settled() (at time.Time, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.settled, f.failures == 0
 }
 
-// Interrupt ends the call under way, which counts as failed. It is for when
-// another sign says that the store does not answer.
+// Interrupt cancels the call in progress, which then counts as failed. It is called when something
+// else shows that the store does not answer.
 func (f *Follower) Interrupt() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,16 +113,16 @@
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := f.step(ctx); err != nil && ctx.Err() == nil {
-			f.failed(ctx, err)
+		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
+			f.handleFailure(ctx, err)
 		}
 	}
 }
 
-// step makes one call and takes over its answer, which confirms the belief for
-// the moment at which the store made it.
-func (f *Follower) step(ctx context.Context) error {
-	sent, full := f.now(), f.wantsAll()
+// poll makes one call and applies its answer, which confirms the local state as of the moment at
+// which the store produced the answer.
+func (f *Follower) poll(ctx context.Context) error {
+	sent, full := f.now(), f.needsWholeTable()
 	within := f.settings.Wait + f.settings.Slack
 	if full {
 		within = max(within, f.settings.ListWithin)
@@ -138,7 +137,7 @@
 	if full {
 		s, err = f.store.List(ctx, f.settings.Table)
 	} else {
-		s, err = f.store.Changes(ctx, f.settings.Table, f.version, f.wait())
+		s, err = f.store.Changes(ctx, f.settings.Table, f.version, f.holdTime())
 	}
 	if errors.Is(err, platform.ErrHistoryGone) || errors.Is(err, platform.ErrRestored) {
 		f.synced = false
@@ -152,14 +151,15 @@
 	case s.Epoch != 0 && s.Epoch < f.epoch:
 		return fmt.Errorf("%w: epoch %d, known %d", errOlderEpoch, s.Epoch, f.epoch)
 	case s.Epoch > f.epoch && !full:
-		// Its versions cannot be compared with the known one, so rows may be passed over.
+		// Versions of different epochs cannot be compared, so this answer may lack rows. The whole
+		// table is read next.
 		f.synced = false
 		return nil
 	}
-	f.succeeded(&s, full)
+	f.recordSuccess(&s, full)
 	if full || len(s.Records) > 0 {
 		f.apply(s, full)
-		defer f.sleep(ctx, f.gather(f.now().Sub(sent)))
+		defer f.sleep(ctx, f.gatherPause(f.now().Sub(sent)))
 	}
 	made := s.Made
 	if made.IsZero() {
@@ -172,53 +172,55 @@
 	return nil
 }
 
-// busyWithin is the time within which the answer to a call for changes tells that
-// more of them come: some of the calls that the pauses between them would allow.
-const busyWithin = 500 * time.Millisecond
+// burstWithin is how soon an answer with changes has to arrive after its call to show that more
+// changes are coming. It is longer than several calls and the pauses between them.
+const burstWithin = 500 * time.Millisecond
 
-// gather is the pause after an answer with changes that took some time to come.
-func (f *Follower) gather(took time.Duration) time.Duration {
+// gatherPause returns the pause after an answer with changes that arrived after a time of took.
+func (f *Follower) gatherPause(took time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if took > busyWithin {
-		f.busy = 0
+	if took > burstWithin {
+		f.burst = 0
 	}
-	pause := min(f.settings.Gather<<min(f.busy, 16), max(f.settings.GatherMost, f.settings.Gather))
-	f.busy++
+	pause := min(f.settings.Gather<<min(f.burst, 16), max(f.settings.GatherMost, f.settings.Gather))
+	f.burst++
 	return pause
 }
 
-// holdLeast is the part of Wait for which a call is held at least, so that calls do
-// not follow each other at once where answers come late.
-const holdLeast = 0.25
+// minHoldPart is the part of Wait for which the store may hold a call at least, so that calls do
+// not follow each other without delay when answers arrive late.
+const minHoldPart = 0.25
 
-// wait is how long the store may hold the next call: until what is known here has grown
-// as old as Wait, the pause after an answer with changes included. Others ask for it and
-// go by it up to an age just above Wait; with the whole of Wait after a pause of 200 ms it
-// would be older. The first call after a failure is
-// answered at once, because others wait for its confirmation.
-func (f *Follower) wait() time.Duration {
+// holdTime returns how long the store may hold the next call: until the local state reaches an age
+// of Wait, so that the pause after an answer with changes is subtracted. Other entries read the
+// local state and accept it up to an age just above Wait; it would exceed that if the store held
+// the call for all of Wait after a pause of 200 ms. The first call after a failure is not held,
+// because callers wait for its confirmation.
+func (f *Follower) holdTime() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.failures > 0 {
 		return 0
 	}
-	left := f.settings.Wait - f.now().Sub(f.confirmed)
-	least := time.Duration(holdLeast * float64(f.settings.Wait))
-	return min(max(left, least), f.settings.Wait)
+	remaining := f.settings.Wait - f.now().Sub(f.confirmed)
+	least := time.Duration(minHoldPart * float64(f.settings.Wait))
+	return min(max(remaining, least), f.settings.Wait)
 }
 
-// errOlderEpoch is for an answer made before the store was restored from a copy.
-var errOlderEpoch = errors.New("answer is older than the store's return from a copy")
+// errOlderEpoch marks an answer from before the store was restored from a backup.
+var errOlderEpoch = errors.New("answer is older than the store's restore from a backup")
 
-// wantsAll reports whether the whole table is to be read.
-func (f *Follower) wantsAll() bool {
+// needsWholeTable reports whether the next call is to read the whole table.
+func (f *Follower) needsWholeTable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.synced || !f.listAt.IsZero() && !f.now().Before(f.listAt)
+	return !f.synced || !f.relistAt.IsZero() && !f.now().Before(f.relistAt)
 }
 
-func (f *Follower) succeeded(s *platform.Snapshot, full bool) {
+// recordSuccess records the version and epoch of an answer. A higher epoch than the known one shows
+// that the store was restored from a backup, and marks the answer as restored.
+func (f *Follower) recordSuccess(s *platform.Snapshot, full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.failures > 0 {
@@ -228,7 +230,7 @@
 	f.failures = 0
 	f.synced = true
 	if full {
-		f.listAt = time.Time{}
+		f.relistAt = time.Time{}
 	}
 	if s.Epoch <= f.epoch {
 		f.version = max(f.version, s.Version)
@@ -237,14 +239,15 @@
 	if f.epoch != 0 {
 		s.Restored = true
 		f.settled = f.now().Add(f.settings.RestoreFor)
-		f.listAt = f.settled
+		f.relistAt = f.settled
 		f.rec.Note(events.StoreRestored, "", "table", f.settings.Table, "epoch", s.Epoch, "before", f.epoch, "version", s.Version, "known-version", f.version)
 	}
 	f.epoch, f.version = s.Epoch, s.Version
 }
 
-// failed notes the first failure of a row of them and backs off.
-func (f *Follower) failed(ctx context.Context, err error) {
+// handleFailure backs off with jitter. It logs the first of consecutive failures and calls onLost
+// for it.
+func (f *Follower) handleFailure(ctx context.Context, err error) {
 	f.mu.Lock()
 	f.failures++
 	n := f.failures
@@ -252,8 +255,8 @@
 	f.mu.Unlock()
 	if n == 1 {
 		f.rec.Note(events.StoreLost, "", "table", f.settings.Table, "version", f.version, "confirmed-before", f.now().Sub(since), "error", err)
-		f.lost()
+		f.onLost()
 	}
-	most := min(f.settings.PauseLeast<<min(n-1, 16), f.settings.PauseMost)
-	f.sleep(ctx, most/2+time.Duration(rand.Int64N(int64(most/2)+1)))
+	backoff := min(f.settings.PauseLeast<<min(n-1, 16), f.settings.PauseMost)
+	f.sleep(ctx, backoff/2+time.Duration(rand.Int64N(int64(backoff/2)+1)))
 }
--- a/internal/belief/follower_test.go
+++ b/internal/belief/follower_test.go
@@ -11,8 +11,8 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// script is a store that answers calls in turn and a follower of it.
-type script struct {
+// scriptedFollower is a follower of a store that gives the listed answers in turn.
+type scriptedFollower struct {
 	*Follower
 	at      time.Time
 	answers []func() (platform.Snapshot, error)
@@ -24,8 +24,8 @@
 	lost    int
 }
 
-func newScript(answers ...func() (platform.Snapshot, error)) *script {
-	s := &script{at: time.Now(), answers: answers}
+func newScriptedFollower(answers ...func() (platform.Snapshot, error)) *scriptedFollower {
+	s := &scriptedFollower{at: time.Now(), answers: answers}
 	next := func() (platform.Snapshot, error) {
 		a := s.answers[0]
 		s.answers = s.answers[1:]
@@ -50,17 +50,17 @@
 	return s
 }
 
-// play runs the follower until the script is over.
-func (s *script) play(t *testing.T) {
+// run polls until all answers are used.
+func (s *scriptedFollower) run(t *testing.T) {
 	t.Helper()
 	for len(s.answers) > 0 {
-		if err := s.step(t.Context()); err != nil {
-			s.failed(t.Context(), err)
+		if err := s.poll(t.Context()); err != nil {
+			s.handleFailure(t.Context(), err)
 		}
 	}
 }
 
-func rows(version int64, names ...string) func() (platform.Snapshot, error) {
+func answerWith(version int64, names ...string) func() (platform.Snapshot, error) {
 	return func() (platform.Snapshot, error) {
 		s := platform.Snapshot{Version: version}
 		for _, n := range names {
@@ -77,8 +77,8 @@
 }
 
 func TestFollowerReadsAllThenChanges(t *testing.T) {
-	s := newScript(rows(5, "a"), rows(5), rows(7, "b"))
-	s.play(t)
+	s := newScriptedFollower(answerWith(5, "a"), answerWith(5), answerWith(7, "b"))
+	s.run(t)
 	if s.lists != 1 || len(s.waits) != 2 {
 		t.Errorf("%d lists and %d calls for changes, want 1 and 2", s.lists, len(s.waits))
 	}
@@ -87,12 +87,12 @@
 	}
 }
 
-// TestPausesGrowWhileChangesCome: many upstreams that start one after another must
-// not each cost a call; a change after a quiet time is taken up as before.
+// TestPausesGrowWhileChangesCome checks that many upstreams that start one after another do not
+// cost a call each, and that a change after a quiet time is read as soon as before.
 func TestPausesGrowWhileChangesCome(t *testing.T) {
 	const least, most = 10 * time.Millisecond, 40 * time.Millisecond
-	slow := func(version int64) func() (platform.Snapshot, error) { return rows(version, "late") }
-	s := newScript(rows(1, "a"), rows(2, "b"), rows(3, "c"), rows(4, "d"), nil, rows(6, "f"))
+	slow := func(version int64) func() (platform.Snapshot, error) { return answerWith(version, "late") }
+	s := newScriptedFollower(answerWith(1, "a"), answerWith(2, "b"), answerWith(3, "c"), answerWith(4, "d"), nil, answerWith(6, "f"))
 	s.answers[4] = func() (platform.Snapshot, error) {
 		s.at = s.at.Add(time.Second)
 		return slow(5)()
@@ -100,7 +100,7 @@
 	s.settings.Gather, s.settings.GatherMost = least, most
 	var pauses []time.Duration
 	s.sleep = func(_ context.Context, d time.Duration) { pauses = append(pauses, d) }
-	s.play(t)
+	s.run(t)
 	want := []time.Duration{least, 2 * least, most, most, least, 2 * least}
 	if !slices.Equal(pauses, want) {
 		t.Errorf("pauses %v, want %v", pauses, want)
@@ -108,30 +108,30 @@
 }
 
 func TestFollowerAfterDroppedHistory(t *testing.T) {
-	s := newScript(rows(5, "a"), fails(platform.ErrHistoryGone), rows(9, "b"))
-	s.play(t)
+	s := newScriptedFollower(answerWith(5, "a"), fails(platform.ErrHistoryGone), answerWith(9, "b"))
+	s.run(t)
 	if s.lists != 2 || s.lost != 0 {
-		t.Errorf("%d lists, lost %d times; want the table read anew and no outage", s.lists, s.lost)
+		t.Errorf("%d lists, lost %d times; want the whole table read again and no outage", s.lists, s.lost)
 	}
 }
 
 func TestFollowerAroundAnOutage(t *testing.T) {
-	s := newScript(rows(5, "a"), fails(errDown), fails(errDown), rows(5), rows(5))
-	s.play(t)
+	s := newScriptedFollower(answerWith(5, "a"), fails(errDown), fails(errDown), answerWith(5), answerWith(5))
+	s.run(t)
 	if s.lost != 1 {
 		t.Errorf("lost %d times, want once", s.lost)
 	}
 	settled, ok := s.Settled()
 	if !ok || !settled.Equal(s.at.Add(2*time.Second)) {
-		t.Errorf("settled in %s, answering %v; want in 2s, true", settled.Sub(s.at), ok)
+		t.Errorf("settled in %s, ok %v; want in 2s, true", settled.Sub(s.at), ok)
 	}
 }
 
-// Requests are refused while the routes are unconfirmed, so the first answer
-// after an outage must not be held for changes.
+// TestFirstCallAfterAnOutageIsNotHeld checks that the first call after an outage is not held for
+// changes, because requests are refused while the routes are unconfirmed.
 func TestFirstCallAfterAnOutageIsNotHeld(t *testing.T) {
-	s := newScript(rows(5, "a"), rows(5), fails(errDown), rows(5), rows(5))
-	s.play(t)
+	s := newScriptedFollower(answerWith(5, "a"), answerWith(5), fails(errDown), answerWith(5), answerWith(5))
+	s.run(t)
 	want := []time.Duration{time.Second, time.Second, 0, time.Second}
 	for i, w := range s.waits {
 		if w != want[i] {
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestPauseAfterAChangeShortensTheNextHold: others ask a follower for what it knows,
-// which must not grow older than Wait although it pauses after answers with changes.
+// TestPauseAfterAChangeShortensTheNextHold checks that the state that a follower serves to others
+// does not grow older than Wait although it pauses after answers with changes.
 func TestPauseAfterAChangeShortensTheNextHold(t *testing.T) {
 	const pause = 200 * time.Millisecond
 	for _, tc := range []struct {
@@ -150,18 +150,18 @@
 		want time.Duration
 	}{
 		{"the answer was new", 0, time.Second - pause},
-		{"the answer was old already", 400 * time.Millisecond, 600*time.Millisecond - pause},
+		{"the answer was 400 ms old", 400 * time.Millisecond, 600*time.Millisecond - pause},
 		{"the answer was as old as the wait", time.Second, 250 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newScript(rows(1, "a"), nil, rows(2))
+			s := newScriptedFollower(answerWith(1, "a"), nil, answerWith(2))
 			s.answers[1] = func() (platform.Snapshot, error) {
-				snap, err := rows(2, "b")()
+				snap, err := answerWith(2, "b")()
 				snap.Made = s.at.Add(-tc.age)
 				return snap, err
 			}
 			s.sleep = func(context.Context, time.Duration) { s.at = s.at.Add(pause) }
-			s.play(t)
+			s.run(t)
 			if got := s.waits[len(s.waits)-1]; got != tc.want {
 				t.Errorf("the call after a pause of %s is held for %s, want %s", pause, got, tc.want)
 			}
@@ -169,10 +169,11 @@
 	}
 }
 
-// TestWholeTableHasTimeForItsPages: a table of many pages takes longer than a call for
-// changes; given up half-way it would be begun anew each time.
-func TestWholeTableHasTimeForItsPages(t *testing.T) {
-	s := newScript(rows(1, "a"), rows(2))
+// TestWholeTableReadHasItsOwnTimeout checks that a read of the whole table gets more time than a
+// call for changes. A table of many pages takes longer, and a read that is cancelled half-way would
+// start from the beginning each time.
+func TestWholeTableReadHasItsOwnTimeout(t *testing.T) {
+	s := newScriptedFollower(answerWith(1, "a"), answerWith(2))
 	s.settings.ListWithin = time.Minute
 	var within []time.Duration
 	list, changes := s.store.List, s.store.Changes
@@ -188,17 +189,17 @@
 		note(ctx)
 		return changes(ctx, table, after, wait)
 	}
-	s.play(t)
+	s.run(t)
 	if want := []time.Duration{time.Minute, 2 * time.Second}; !slices.Equal(within, want) {
-		t.Errorf("calls are given up after %v, want %v", within, want)
+		t.Errorf("calls time out after %v, want %v", within, want)
 	}
 }
 
-func TestConfirmationIsOfTheAnswer(t *testing.T) {
+func TestConfirmationTimeIsWhenTheAnswerWasMade(t *testing.T) {
 	made := time.Now().Add(-time.Minute)
-	s := newScript(func() (platform.Snapshot, error) { return platform.Snapshot{Version: 1, Made: made}, nil })
-	s.play(t)
+	s := newScriptedFollower(func() (platform.Snapshot, error) { return platform.Snapshot{Version: 1, Made: made}, nil })
+	s.run(t)
 	if !s.confirm.Equal(made) {
-		t.Errorf("confirmed for %s, want for when the answer was made, %s", s.confirm, made)
+		t.Errorf("confirmed as of %s, want the time at which the answer was produced, %s", s.confirm, made)
 	}
 }
--- a/internal/belief/restored_test.go
+++ b/internal/belief/restored_test.go
@@ -10,7 +10,9 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// The copy had an older route table, or none, and rows of zones that were closed or opened since.
+// TestOperatorsRowsAfterTheStoreWasRestored covers a restore from a backup with an older route
+// table or none, and without changes to closed zones since. The later table stays in force, and
+// zones closed since the backup stay closed until the table is read once more.
 func TestOperatorsRowsAfterTheStoreWasRestored(t *testing.T) {
 	restored := func(records ...platform.Record) platform.Snapshot {
 		return platform.Snapshot{Records: records, Restored: true}
@@ -22,9 +24,9 @@
 	}{
 		{"an older table", restored(platform.Record{Name: "config", Version: 3, Value: []byte("5")}), 7},
 		{"no table", restored(), 7},
-		{"the same one", restored(platform.Record{Name: "config", Version: 9, Value: []byte("7")}), 7},
-		{"a later one", restored(platform.Record{Name: "config", Version: 4, Value: []byte("8")}), 8},
-		{"an older one that is written after the return", platform.Snapshot{Records: []platform.Record{{Name: "config", Version: 5, Value: []byte("6")}}}, 7},
+		{"the same table", restored(platform.Record{Name: "config", Version: 9, Value: []byte("7")}), 7},
+		{"a later table", restored(platform.Record{Name: "config", Version: 4, Value: []byte("8")}), 8},
+		{"an older table that is written after the restore", platform.Snapshot{Records: []platform.Record{{Name: "config", Version: 5, Value: []byte("6")}}}, 7},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := NewRoutes("config", decodeVersion, events.Nop(), time.Now)
@@ -44,7 +46,7 @@
 	}
 	z.Apply(platform.Snapshot{Records: []platform.Record{{Name: "before"}}}, true)
 	if closed["since"] {
-		t.Error("a zone that nobody closed again stays closed")
+		t.Error("a zone whose row was not written again stays closed")
 	}
 }
 
--- a/internal/belief/routes.go
+++ b/internal/belief/routes.go
@@ -10,8 +10,8 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// Routes is the belief about the operator's route table. Its version never goes
-// down, and each confirmation carries the steady time for which it holds.
+// Routes holds the operator's route table. The version in force never decreases, and each
+// confirmation states the steady time at which it was the newest.
 type Routes struct {
 	decode func(value []byte) (*routetable.Table, error)
 	name   string
@@ -20,61 +20,62 @@
 
 	mu    sync.Mutex
 	table *routetable.Table
-	// row is the one that the table in force was read from, and older tells that the store's
-	// row is older than it.
+	// row is the record of the table in force. older is set while the store's row holds an older
+	// table.
 	row       platform.Record
 	older     bool
 	confirmed time.Time
-	// refused is set while the row cannot be used, refusedRow is its version.
+	// refused is set while the store's row cannot be used, and refusedRow is the version of that
+	// row.
 	refused    bool
 	refusedRow int64
-	// olderRow is the version of the latest row with a table that is older than the one in force.
+	// olderRow is the version of the latest row that holds an older table than the one in force.
 	olderRow int64
 }
 
-// NewRoutes returns an empty belief; name is that of the row that holds the table.
+// NewRoutes returns Routes without a table. name is the row that holds the table.
 func NewRoutes(name string, decode func(value []byte) (*routetable.Table, error), rec *events.Recorder, now func() time.Time) *Routes {
 	return &Routes{decode: decode, name: name, rec: rec, now: now}
 }
 
-// Current returns the table in force here, nil if none is known, and the steady
-// time at which it was last known to be the newest.
+// Current returns the table in force, nil if there is none, and the steady time at which it was
+// last known to be the newest.
 func (r *Routes) Current() (*routetable.Table, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table, r.confirmed
 }
 
-// Apply takes over the store's answer.
+// Apply processes an answer of the store.
 func (r *Routes) Apply(s platform.Snapshot, _ bool) {
 	for _, rec := range s.Records {
 		if rec.Name == r.name && !rec.Gone {
-			r.offer(rec, s.Restored)
+			r.applyStored(rec, s.Restored)
 		}
 	}
 }
 
-// Learn takes over the table of another entry that has a later one in force than the store.
+// Learn puts the table of another entry in force if it is later than the current one.
 func (r *Routes) Learn(entry string, records []platform.Record) {
 	for _, rec := range records {
 		if rec.Name != r.name || rec.Gone {
 			continue
 		}
-		table, err := r.decoded(rec)
+		table, err := r.safeDecode(rec)
 		r.mu.Lock()
 		switch {
 		case err != nil:
 			r.rec.Note(events.RoutesRejected, "", "source", entry, "row", rec.Version, "error", err)
 		case r.table == nil || table.Version() > r.table.Version():
-			r.take(table, rec, entry)
+			r.activate(table, rec, entry)
 			r.older = true
 		}
 		r.mu.Unlock()
 	}
 }
 
-// decoded decodes a row; a fault of the decoder is an error.
-func (r *Routes) decoded(rec platform.Record) (table *routetable.Table, err error) {
+// safeDecode decodes a row and returns a panic of the decoder as an error.
+func (r *Routes) safeDecode(rec platform.Record) (table *routetable.Table, err error) {
 	err = guard.Do(func() (err error) {
 		table, err = r.decode(rec.Value)
 		return err
@@ -82,8 +83,8 @@
 	return table, err
 }
 
-// take puts a table in force. It needs the lock.
-func (r *Routes) take(table *routetable.Table, rec platform.Record, source string) {
+// activate puts a table in force. The caller holds the lock.
+func (r *Routes) activate(table *routetable.Table, rec platform.Record, source string) {
 	before := routetable.Version(0)
 	if r.table != nil {
 		before = r.table.Version()
@@ -92,12 +93,13 @@
 	r.rec.Note(events.RoutesLoaded, "", "source", source, "version", table.Version(), "before", before)
 }
 
-// offer takes over a stored table if it is newer than the one in force. One that cannot be
-// used is refused and the last good one stays; a version of the row is told once, since
-// each answer that holds the whole table repeats it. In a store that was restored from a copy an
-// earlier table stands until the later one is written again: it changes nothing.
-func (r *Routes) offer(rec platform.Record, restored bool) {
-	table, err := r.decoded(rec)
+// applyStored puts a stored table in force if it is newer than the current one. A row that cannot
+// be used is rejected, and the last valid table stays in force. Each version of such a row is
+// logged once, because every answer with the whole table repeats it. A store that was restored from
+// a backup may hold an older table until the later one is written again; the older one is not put
+// in force.
+func (r *Routes) applyStored(rec platform.Record, restored bool) {
+	table, err := r.safeDecode(rec)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
@@ -119,19 +121,19 @@
 	if r.table != nil && table.Version() == r.table.Version() {
 		return
 	}
-	r.take(table, rec, "store")
+	r.activate(table, rec, "store")
 }
 
-// Kept returns the row of the table in force while the store has an older one, which it came back
-// with; ok is false otherwise.
+// Kept returns the row of the table in force while the store holds an older one, as after a restore
+// from a backup. Otherwise ok is false.
 func (r *Routes) Kept() (row platform.Record, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.row, r.older
 }
 
-// Confirm notes that the table of a version was the newest at a steady time.
-// It is ignored when another version is in force here.
+// Confirm records that the table with version v was the newest at a steady time. It has no effect
+// if another version is in force.
 func (r *Routes) Confirm(v routetable.Version, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,9 +142,9 @@
 	}
 }
 
-// ConfirmCurrent notes that whatever is in force was the newest at a steady time. It is not
-// while a later table cannot be used: that may have taken keys away, which would be served
-// for as long as it stands.
+// ConfirmCurrent records that the table in force was the newest at a steady time. It has no effect
+// while a later table cannot be used: that table may have revoked API keys, which would otherwise
+// be accepted for as long as the unusable table is stored.
 func (r *Routes) ConfirmCurrent(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/belief/routes_test.go
+++ b/internal/belief/routes_test.go
@@ -10,9 +10,9 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// TestTableThatCannotBeUsed: the last good one stays, and each version of the row is told
-// once.
-func TestTableThatCannotBeUsed(t *testing.T) {
+// TestUnusableTableIsLoggedOncePerVersion checks that the last valid table stays in force when a
+// row cannot be used, and that each version of such a row is logged once.
+func TestUnusableTableIsLoggedOncePerVersion(t *testing.T) {
 	errBad := errors.New("bad")
 	decode := func(value []byte) (*routetable.Table, error) {
 		if string(value) == "bad" {
@@ -29,14 +29,14 @@
 		inForce routetable.Version
 		lines   int
 	}{
-		{"before any", 1, "bad", 0, 1},
-		{"the same again", 1, "bad", 0, 1},
-		{"a good one", 2, "x", 1, 1},
-		{"turned bad", 3, "bad", 1, 2},
-		{"in the next answer too", 3, "bad", 1, 2},
-		{"another bad one", 4, "bad", 1, 3},
-		{"good again", 5, "xx", 2, 3},
-		{"bad once more", 6, "bad", 2, 4},
+		{"invalid before any valid one", 1, "bad", 0, 1},
+		{"same invalid row again", 1, "bad", 0, 1},
+		{"valid", 2, "x", 1, 1},
+		{"invalid", 3, "bad", 1, 2},
+		{"same invalid row in the next answer", 3, "bad", 1, 2},
+		{"another invalid version", 4, "bad", 1, 3},
+		{"valid again", 5, "xx", 2, 3},
+		{"invalid again", 6, "bad", 2, 4},
 	} {
 		r.Apply(platform.Snapshot{Records: []platform.Record{
 			{Name: "other", Value: []byte("bad")}, {Name: "config", Version: tc.version, Value: []byte(tc.value)},
@@ -52,7 +52,7 @@
 			}
 		}
 		if got != tc.inForce || lines != tc.lines {
-			t.Errorf("%s: version %d with %d lines, want %d with %d", tc.name, got, lines, tc.inForce, tc.lines)
+			t.Errorf("%s: version %d with %d log lines, want %d with %d", tc.name, got, lines, tc.inForce, tc.lines)
 		}
 	}
 }
--- a/internal/belief/zones.go
+++ b/internal/belief/zones.go
@@ -6,23 +6,23 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// Zones is the belief about the availability zones that operators closed: nothing new is
-// to go to the upstreams there until the row that closes a zone is removed.
+// Zones holds the availability zones that operators closed. Upstreams in a closed zone get no new
+// work until the row that closes the zone is removed.
 type Zones struct {
 	zoneOf func(row string) (zone string, ok bool)
 	apply  func(closed map[string]bool)
 	closed map[string]bool
 }
 
-// NewZones returns a belief that no zone is closed. zoneOf tells which zone a row closes,
-// if it does; apply gets all closed zones after each change, and must not change them.
+// NewZones returns Zones with all zones open. zoneOf returns the zone that a row closes, if it
+// closes one. apply receives all closed zones after each change and must not modify the map.
 func NewZones(zoneOf func(row string) (zone string, ok bool), apply func(closed map[string]bool)) *Zones {
 	return &Zones{zoneOf: zoneOf, apply: apply, closed: map[string]bool{}}
 }
 
-// Apply takes over the store's answer; full marks one that holds the whole table. It is
-// called by one goroutine. In a store that was restored from a copy the rows of zones that were closed
-// since may be missing: these stay closed until the whole table is read once more.
+// Apply processes an answer of the store; full marks an answer that holds the whole table. It must
+// be called from one goroutine. A store that was restored from a backup may lack rows of zones that
+// were closed since, so these zones stay closed until the whole table is read once more.
 func (z *Zones) Apply(s platform.Snapshot, full bool) {
 	closed := map[string]bool{}
 	if !full || s.Restored {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -122,8 +122,8 @@
 mutant bad-rows-kept internal/daemon/upstreamrows.go 's/if full \{/if false {/' internal/daemon TestBadRowsAreTold
 mutant bad-rows-good-again internal/daemon/upstreamrows.go 's/\t\tu\.bad\.remove\(row\.Name\)\n\t\tr\.Version/\t\tr.Version/' internal/daemon TestBadRowsAreTold
 mutant bad-rows-lines internal/daemon/badrows.go 's/if b\.lines >= badLines \{/if false {/' internal/daemon TestManyBadRows
-mutant routes-once internal/belief/routes.go 's/if !r\.refused \|\| r\.refusedRow != rec\.Version \{/if true {/' internal/belief TestTableThatCannot
-mutant routes-each-version internal/belief/routes.go 's/ \|\| r\.refusedRow != rec\.Version \{/ {/' internal/belief TestTableThatCannot
+mutant routes-once internal/belief/routes.go 's/if !r\.refused \|\| r\.refusedRow != rec\.Version \{/if true {/' internal/belief TestUnusableTableIsLogged
+mutant routes-each-version internal/belief/routes.go 's/ \|\| r\.refusedRow != rec\.Version \{/ {/' internal/belief TestUnusableTableIsLogged
 mutant routes-unusable-unconfirmed internal/belief/routes.go 's/ && !r\.refused && at/ \&\& at/' internal/belief TestUnusableTableConfirmsNothing
 mutant zones-named platform/store.go 's/return zone, ok && zone != ""/return zone, ok/' platform TestClosedZone
 entry=internal/directory/row.go
@@ -227,7 +227,7 @@
 mutant stop-stall-looked internal/daemon/runwatch.go 's/w\.stalledFrom, w\.stalledTo = w\.ranAt, now/w.stalledFrom = w.ranAt/' internal/daemon TestRunWatch
 
 # Faults of this program over what was read.
-mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestTableThatEndsNoReader
+mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestPanickingDecoderKeepsTheLastTable
 mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
 mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.read\(b, addr\) \}\); err/if err := n.read(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestMessageThatEndsNoReader
 mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
@@ -308,9 +308,9 @@
 mutant sidecar-start internal/sidecar/notice.go 's/if n\.start != start \{/if false {/' internal/sidecar TestRestOfAServiceEnds
 
 mutant epoch-changes internal/belief/follower.go 's/case s\.Epoch > f\.epoch && !full:/case false:/' internal/belief TestOnlyReadEpochsConfirm
-mutant epoch-version internal/belief/follower.go 's/f\.epoch, f\.version = s\.Epoch, s\.Version/f.epoch, f.version = s.Epoch, max(f.version, s.Version)/' internal/belief TestFollowerOfAStoreThatIsRestored
+mutant epoch-version internal/belief/follower.go 's/f\.epoch, f\.version = s\.Epoch, s\.Version/f.epoch, f.version = s.Epoch, max(f.version, s.Version)/' internal/belief TestFollowerConvergesAfterRepeatedRestores
 mutant epoch-older internal/belief/follower.go 's/case s\.Epoch != 0 && s\.Epoch < f\.epoch:/case false:/' internal/belief TestOnlyReadEpochsConfirm
-mutant epoch-again internal/belief/follower.go 's/\t\tf\.listAt = f\.settled\n//' internal/belief TestTableIsReadOnceMore
+mutant epoch-again internal/belief/follower.go 's/\t\tf\.relistAt = f\.settled\n//' internal/belief TestTableIsReadAgain
 mutant epoch-pages platform/store.go 's/if rows\.epoch != out\.Epoch \{/if false {/' platform TestReturnBetweenTwoPages
 mutant epoch-log internal/relay/log.go 's/\tif known \{\n\t\tt\.rows/\tif known \&\& false {\n\t\tt.rows/' internal/relay TestEpochsBesideAnEarlierRelease
 mutant epoch-asker internal/relay/log.go 's/case !t\.comparable\(epoch\):/case false \&\& !t.comparable(epoch):/' internal/relay TestEpochsBesideAnEarlierRelease
@@ -320,7 +320,7 @@
 mutant restored-next internal/fleet/starts.go 's/holds := m\.unwritten && !s\.restored/holds := false/' internal/fleet TestFleetAfterTheStoreWasRestored
 mutant restored-zones internal/belief/zones.go 's/if !full \|\| s\.Restored/if !full/' internal/belief TestOperatorsRows
 mutant restored-routes internal/belief/routes.go 's/table\.Version\(\) < r\.table\.Version\(\) \{/false {/' internal/belief TestOperatorsRows
-mutant behind-kept internal/belief/routes.go 's/r\.olderRow, r\.older = rec\.Version, true/r.olderRow = rec.Version/' internal/belief TestEntryThatStartsAfterAReturn
+mutant behind-kept internal/belief/routes.go 's/r\.olderRow, r\.older = rec\.Version, true/r.olderRow = rec.Version/' internal/belief TestEntryStartedAfterARestore
 
 mutant leaving-unread internal/fleet/starts.go 's/\t\tm\.avoid = s\.now\(\)\.Add\(recordWithin\)\n//' internal/fleet TestLeaveSaidBefore
 mutant head-ahead $store 's/own\.Version > h\.Version \|\| //' internal/rollout TestProcessesDisagreed
