--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -1,5 +1,7 @@
-// Package routetable holds the operator's routes: which service answers which
-// requests, who may send them, and within which bounds.
+// Package routetable holds a version of the operator's routes: which service answers which
+// requests, which client accounts may send them, and within which limits. The platform package
+// decodes a Table from the store, and the gateway looks up the route, account and service of each
+// request in it. A Table is not modified after New.
 package routetable
 
 import (
@@ -8,19 +10,20 @@
 	"time"
 )
 
-// Version numbers route tables; a higher one replaces a lower one.
+// Version numbers route tables; a higher version replaces a lower one.
 type Version int64
 
-// Kind tells what may be done with the requests of a route.
+// Kind tells whether the requests of a route may run more than once, and whether their answers are
+// streams.
 type Kind int
 
 // The kinds of route.
 const (
-	// Repeatable requests may run more than once.
+	// Repeatable marks requests that may run more than once.
 	Repeatable Kind = iota
 	// Once marks requests that may run at most once for each attempt of the caller.
 	Once
-	// Stream marks generations, whose answers are series of events.
+	// Stream marks generations, whose answers are event streams.
 	Stream
 )
 
@@ -31,26 +34,26 @@
 	Weight int
 }
 
-// Route tells where requests for a host and path go.
+// Route tells where requests for a host and path prefix go.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout bounds the time the operator wants a request held.
+	// Timeout is the operator's limit on how long a request may be held.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, serves the caller fully.
+	// Objective is the target latency: the time within which an answer, or the first event of a
+	// stream, has its full value for the caller.
 	Objective time.Duration
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int
 	// Shares are the services that answer, by weight.
 	Shares []Share
-	// MaxAttempts bounds the upstreams one request may be sent to.
+	// MaxAttempts limits the number of upstreams to which one request may be sent.
 	MaxAttempts int
 	// Public routes need no client API key.
 	Public bool
-	// Resumable streams may go on at another upstream after their last event.
+	// Resumable streams may continue at another upstream after their last event.
 	Resumable bool
 }
 
@@ -61,33 +64,33 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many generations run at once.
+	// Slots is the number of generations that run at once.
 	Slots int
 	// MemoryTokens is the KV memory of one engine in tokens.
 	MemoryTokens int
-	// Moves tells that a running generation's memory can be moved.
+	// Moves is set if the memory of a running generation can be moved to another engine.
 	Moves bool
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// CopyRate is the memory in tokens that an engine can copy to others in a second; 0 if
-	// it is not stated.
+	// CopyRate is the KV memory, in tokens, that an engine can copy to others per second; 0 if it
+	// is not stated.
 	CopyRate float64
 }
 
-// Service is a group of upstreams that answer alike.
+// Service is a group of upstreams that give equivalent answers.
 type Service struct {
 	Name string
 	// Engine is nil for a plain service.
 	Engine *Engine
 }
 
-// Limits bound what callers may send.
+// Limits bounds what callers may send.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderWithin is the time a caller has to send the headers.
+	// HeaderWithin is the timeout for receiving the headers of a request.
 	HeaderWithin time.Duration
-	// IdleWithin is how long an idle connection of a caller is kept.
+	// IdleWithin is how long an idle connection of a caller is kept open.
 	IdleWithin time.Duration
 }
 
@@ -98,7 +101,7 @@
 	Priority int
 }
 
-// Table is one version of the operator's routes with its indexes.
+// Table is one version of the operator's routes, indexed for lookups.
 type Table struct {
 	version  Version
 	byHost   map[string][]*Route
@@ -136,7 +139,7 @@
 // Version returns the table's version.
 func (t *Table) Version() Version { return t.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits on what callers may send.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Service returns the service called name.
@@ -154,7 +157,8 @@
 	return a, ok
 }
 
-// Match returns the route for a host and path: the one with the longest prefix.
+// Match returns the route with the longest matching prefix for a host and path. A port in host is
+// ignored unless routes name it.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	host = strings.ToLower(host)
 	list, ok := t.byHost[host]
@@ -173,7 +177,8 @@
 	return nil, false
 }
 
-// Pick returns the service for a request; roll is uniform in [0, 1).
+// Pick returns the service for a request, chosen by weight. roll is a random number, uniform in [0,
+// 1).
 func (r *Route) Pick(roll float64) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -14,11 +14,11 @@
 func TestMatch(t *testing.T) {
 	for _, tc := range []struct{ name, host, path, want string }{
 		{"the longest prefix wins", "a.example", "/x/y/z", "deep"},
-		{"a shorter one where it does not fit", "a.example", "/x/z", "mid"},
-		{"the root takes the rest", "a.example", "/q", "root"},
-		{"a prefix ends at its slash", "a.example", "/x", "root"},
-		{"hosts have no case", "A.Example", "/q", "root"},
-		{"a port does not count", "a.example:80", "/q", "root"},
+		{"a shorter prefix if the longest does not match", "a.example", "/x/z", "mid"},
+		{"the root prefix matches all other paths", "a.example", "/q", "root"},
+		{"a prefix matches only with its final slash", "a.example", "/x", "root"},
+		{"hosts are case-insensitive", "A.Example", "/q", "root"},
+		{"a port is ignored", "a.example:80", "/q", "root"},
 		{"an unknown host", "c.example", "/", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
