--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -122,21 +122,21 @@
 mutant bad-rows-kept internal/daemon/upstreamrows.go 's/if full \{/if false {/' internal/daemon TestBadRowsAreTold
 mutant bad-rows-good-again internal/daemon/upstreamrows.go 's/\t\tu\.bad\.remove\(row\.Name\)\n\t\tr\.Version/\t\tr.Version/' internal/daemon TestBadRowsAreTold
 mutant bad-rows-lines internal/daemon/badrows.go 's/if b\.lines >= badLines \{/if false {/' internal/daemon TestManyBadRows
-mutant routes-once internal/belief/routes.go 's/if !r\.refused \|\| r\.refusedRow != rec\.Version \{/if true {/' internal/belief TestTableThatCannot
-mutant routes-each-version internal/belief/routes.go 's/ \|\| r\.refusedRow != rec\.Version \{/ {/' internal/belief TestTableThatCannot
+mutant routes-once internal/belief/routes.go 's/if !r\.refused \|\| r\.refusedRow != rec\.Version \{/if true {/' internal/belief TestUnusableTableIsLogged
+mutant routes-each-version internal/belief/routes.go 's/ \|\| r\.refusedRow != rec\.Version \{/ {/' internal/belief TestUnusableTableIsLogged
 mutant routes-unusable-unconfirmed internal/belief/routes.go 's/ && !r\.refused && at/ \&\& at/' internal/belief TestUnusableTableConfirmsNothing
 mutant zones-named platform/store.go 's/return zone, ok && zone != ""/return zone, ok/' platform TestClosedZone
 entry=internal/directory/row.go
-mutant entries-bytes $entry 's/if !utf8\.Valid\(value\) \{/if !utf8.Valid(nil) {/' internal/directory TestEntriesOfOther
-mutant entries-address $entry 's/if err != nil \|\| a\.Port\(\) == 0 \|\| !a\.Addr\(\)\.Is4\(\) \{/if err == nil \&\& a.Port() == 0 {/' internal/directory TestEntriesOfOther
-mutant entries-port $entry 's/ \|\| a\.Port\(\) == 0 \|\|/ ||/' internal/directory TestEntriesOfOther
-mutant entries-family $entry 's/ \|\| !a\.Addr\(\)\.Is4\(\) \{/ {/' internal/directory TestEntriesOfOther
-mutant entries-absent $entry 's/r := row\{RenewedMS: -1\}/r := row{}/' internal/directory TestEntriesOfOther
-mutant entries-times $entry 's/ \|\| r\.RenewedMS > mostMS / /' internal/directory TestEntriesOfOther
-mutant entries-pause $entry 's/ \|\| r\.RenewsEachMS <= 0 / /' internal/directory TestEntriesOfOther
-mutant entries-once $entry 's/return !known \|\| version != r\.Version/return !known || version >= 0/' internal/directory TestBadRowsAreToldOnce
-mutant entries-lines internal/directory/directory.go 's/ && told < mostLines \{/ {/' internal/directory TestBadRowsAreToldOnce
-mutant directory-owed internal/directory/directory.go 's/owed = err != nil/_ = err/' internal/directory TestRefusedRenewal
+mutant entries-bytes $entry 's/if !utf8\.Valid\(value\) \{/if !utf8.Valid(nil) {/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-address $entry 's/if err != nil \|\| a\.Port\(\) == 0 \|\| !a\.Addr\(\)\.Is4\(\) \{/if err == nil \&\& a.Port() == 0 {/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-port $entry 's/ \|\| a\.Port\(\) == 0 \|\|/ ||/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-family $entry 's/ \|\| !a\.Addr\(\)\.Is4\(\) \{/ {/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-absent $entry 's/r := row\{RenewedMS: -1\}/r := row{}/' internal/directory TestUnusableRowsAreIgnored
+mutant entries-times $entry 's/ \|\| r\.RenewedMS > maxClockMS / /' internal/directory TestUnusableRowsAreIgnored
+mutant entries-pause $entry 's/ \|\| r\.RenewsEachMS <= 0 / /' internal/directory TestUnusableRowsAreIgnored
+mutant entries-once $entry 's/return !known \|\| version != r\.Version/return !known || version >= 0/' internal/directory TestBadRowsAreLoggedOncePerVersion
+mutant entries-lines internal/directory/directory.go 's/ && logged < maxBadRowLogs \{/ {/' internal/directory TestBadRowsAreLoggedOncePerVersion
+mutant directory-owed internal/directory/directory.go 's/renewalDue = err != nil/_ = err/' internal/directory TestRefusedRenewal
 
 starts=internal/fleet/starts.go
 mutant start-own-id $starts 's/case born != 0:/case false:/' internal/fleet TestRestartUnderTheSameName
@@ -206,8 +206,8 @@
 mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.recordBrokenAnswer\(s\.rq, st\.at, err\)\n//' $gateway TestPoisonRequestIsQuarantined
 mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Hear\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
 mutant held-untold internal/gossip/message.go 's/Suspects: quarantine\.Encode\(s\.Suspects/Suspects: quarantine.Encode(s.Suspects[:0]/' platform/soak TestCrashingRequest
-mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedOver
-mutant held-renewed internal/directory/directory.go 's/\t\t\towed = true\n//' internal/directory TestCarriedOver
+mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedValueSurvives
+mutant held-renewed internal/directory/directory.go 's/\t\t\trenewalDue = true\n//' internal/directory TestCarriedValueSurvives
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
 mutant held-sidecar-starts internal/sidecar/starts.go 's/u\.restarts, u\.down = u\.restarts\+1, false/u.down = false/' internal/sidecar TestUpstreamIncarnations
@@ -227,14 +227,14 @@
 mutant stop-stall-looked internal/daemon/runwatch.go 's/w\.stalledFrom, w\.stalledTo = w\.ranAt, now/w.stalledFrom = w.ranAt/' internal/daemon TestRunWatch
 
 # Faults of this program over what was read.
-mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestTableThatEndsNoReader
+mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestPanickingDecoderKeepsTheLastTable
 mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
 mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.handle\(b, addr\) \}\); err/if err := n.handle(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestPanicDoesNotStopReceiver
 mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
 mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestPanicInAGeneration
 
-mutant first-reads internal/directory/directory.go 's/firstMost  = 2 \* time\.Second/firstMost  = time.Hour/; s/firstLeast = 100 \* time\.Millisecond/firstLeast = time.Hour/' internal/directory TestFirstReadsThatFail
-mutant first-row internal/directory/begin.go 's/\t\t\td\.again\(ctx, d\.renew\)\n\t\t\td\.again\(ctx, d\.read\)\n//' internal/directory TestFirstReadsThatFail
+mutant first-reads internal/directory/directory.go 's/retryDelayMax = 2 \* time\.Second/retryDelayMax = time.Hour/; s/retryDelayMin = 100 \* time\.Millisecond/retryDelayMin = time.Hour/' internal/directory TestFailedFirstReadsAreRetriedSoon
+mutant first-row internal/directory/begin.go 's/\t\t\td\.retry\(ctx, d\.renew\)\n\t\t\td\.retry\(ctx, d\.read\)\n//' internal/directory TestFailedFirstReadsAreRetriedSoon
 
 # What limited upstreams take.
 limits=internal/limits
@@ -275,11 +275,11 @@
 mutant start-asks internal/relay/store.go 's/\tfor range maxAsked \{\n\t\tp, ok, _ := s\.source\(\)\n\t\tif !ok \{/\tfor range maxAsked {\n\t\tp, ok, _ := s.source()\n\t\tif ok || !ok {/' internal/relay TestStartAsksTheDelegate
 mutant start-waits internal/relay/store.go 's/\ts\.awaitListed\(ctx\)\n//' internal/relay TestStartWaitsForTheList
 mutant start-held internal/relay/server.go 's/\t\tcase <-signs\.changed:\n\t\tcase <-end\.C:\n\t\t\treturn nil, err/\t\tcase <-signs.confirmed:\n\t\tdefault:\n\t\t\treturn nil, err/' internal/relay TestStartAsksTheDelegate
-mutant start-together internal/directory/begin.go 's/pause\(ctx, upTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
-mutant start-rows internal/directory/begin.go 's/\t\td\.awaitSoon\(ctx, upTo\([^\n]*\n//; s/\/\/ awaitSoon returns/var _ = (*Directory).awaitSoon\n\n\/\/ awaitSoon returns/' internal/directory TestHundredsThatStartTogether
-mutant zone-delegates internal/roster/roster.go 's/return entries > directMost/return entries < 0/' internal/relay TestWhoAsksWhom
+mutant start-together internal/directory/begin.go 's/sleep\(ctx, randomUpTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
+mutant start-rows internal/directory/begin.go 's/\t\td\.awaitRenewalRequest\(ctx, randomUpTo\([^\n]*\n//; s/\/\/ awaitRenewalRequest returns/var _ = (*Directory).awaitRenewalRequest\n\n\/\/ awaitRenewalRequest returns/' internal/directory TestHundredsThatStartTogether
+mutant zone-delegates internal/roster/roster.go 's/return entries > maxDirectEntries/return entries < 0/' internal/relay TestWhoAsksWhom
 mutant zone-size internal/roster/roster.go 's/cmp\.Compare\(b\.Size\.Cores, a\.Size\.Cores\), //' internal/roster TestDelegatesAreTheLargest
-mutant zone-more internal/roster/roster.go 's/\(entries\+zoneEach-1\)\/zoneEach/0*entries/' internal/roster TestWorkForOthersIsBounded
+mutant zone-more internal/roster/roster.go 's/\(entries\+entriesPerDelegate-1\)\/entriesPerDelegate/0*entries/' internal/roster TestEntriesPerDelegateAreBounded
 mutant zone-confirmed internal/relay/server.go 's/case <-signs\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationIsPassedOnAtOnce
 mutant zone-turns internal/relay/turns.go 's/turnsMost = 32/turnsMost = 1 << 20/' internal/relay TestTurnsOfHundreds
 mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.UrgeEach()/' internal/gossip TestEntryThatAppears
@@ -308,9 +308,9 @@
 mutant sidecar-start internal/sidecar/notice.go 's/if n\.incarnation != incarnation \{/if false {/' internal/sidecar TestBackoffEndsWithItsIncarnation
 
 mutant epoch-changes internal/belief/follower.go 's/case s\.Epoch > f\.epoch && !full:/case false:/' internal/belief TestOnlyReadEpochsConfirm
-mutant epoch-version internal/belief/follower.go 's/f\.epoch, f\.version = s\.Epoch, s\.Version/f.epoch, f.version = s.Epoch, max(f.version, s.Version)/' internal/belief TestFollowerOfAStoreThatIsRestored
+mutant epoch-version internal/belief/follower.go 's/f\.epoch, f\.version = s\.Epoch, s\.Version/f.epoch, f.version = s.Epoch, max(f.version, s.Version)/' internal/belief TestFollowerConvergesAfterRepeatedRestores
 mutant epoch-older internal/belief/follower.go 's/case s\.Epoch != 0 && s\.Epoch < f\.epoch:/case false:/' internal/belief TestOnlyReadEpochsConfirm
-mutant epoch-again internal/belief/follower.go 's/\t\tf\.listAt = f\.settled\n//' internal/belief TestTableIsReadOnceMore
+mutant epoch-again internal/belief/follower.go 's/\t\tf\.relistAt = f\.settled\n//' internal/belief TestTableIsReadAgain
 mutant epoch-pages platform/store.go 's/if rows\.epoch != out\.Epoch \{/if false {/' platform TestReturnBetweenTwoPages
 mutant epoch-log internal/relay/log.go 's/\tif known \{\n\t\tt\.rows/\tif known \&\& false {\n\t\tt.rows/' internal/relay TestEpochsBesideAnEarlierRelease
 mutant epoch-asker internal/relay/log.go 's/case !t\.comparable\(epoch\):/case false \&\& !t.comparable(epoch):/' internal/relay TestEpochsBesideAnEarlierRelease
@@ -320,7 +320,7 @@
 mutant restored-next internal/fleet/starts.go 's/overrides := m\.predatesRestore && !s\.restoring/overrides := false/' internal/fleet TestFleetAfterTheStoreWasRestored
 mutant restored-zones internal/belief/zones.go 's/if !full \|\| s\.Restored/if !full/' internal/belief TestOperatorsRows
 mutant restored-routes internal/belief/routes.go 's/table\.Version\(\) < r\.table\.Version\(\) \{/false {/' internal/belief TestOperatorsRows
-mutant behind-kept internal/belief/routes.go 's/r\.olderRow, r\.older = rec\.Version, true/r.olderRow = rec.Version/' internal/belief TestEntryThatStartsAfterAReturn
+mutant behind-kept internal/belief/routes.go 's/r\.olderRow, r\.older = rec\.Version, true/r.olderRow = rec.Version/' internal/belief TestEntryStartedAfterARestore
 
 mutant leaving-unread internal/fleet/starts.go 's/\t\tm\.avoidUntil = s\.now\(\)\.Add\(leavingRecordDelay\)\n//' internal/fleet TestLeaveReportedBefore
 mutant head-ahead $store 's/own\.Version > h\.Version \|\| //' internal/rollout TestProcessesDisagreed
