--- a/internal/callid/callid.go
+++ b/internal/callid/callid.go
@@ -1,11 +1,11 @@
-// Package callid gives the identifiers of calls that may not be repeated their
-// two forms, and says which upstream is responsible for each.
+// Package callid parses and creates the identifiers of calls that must run at most once, and
+// determines which upstream is responsible for each. The entries and the sidecars use it.
 //
-// A ticket is bound to one incarnation of one sidecar: it can run only there,
-// so no clock and no store is needed to run it at most once. A caller's key
-// has a home, the upstream with the highest hash among all configured ones;
-// a key that is a UUID of version 7 carries its own time of issue (RFC 9562),
-// by which a home can tell whether an earlier incarnation may have seen it.
+// A ticket is bound to one incarnation of one sidecar and can run only there, so at-most-once
+// execution needs neither a clock nor a store. A key chosen by the caller has a home upstream,
+// found by rendezvous hashing over all configured upstreams. A key that is a version 7 UUID (RFC
+// 9562) also holds its time of issue, by which the home upstream can tell whether an earlier
+// incarnation may have run the call.
 package callid
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/sparshore/sparshore/internal/config"
 )
 
-// ErrMalformed is returned for an identifier that has neither form.
+// ErrMalformed is wrapped when an identifier is neither a valid ticket nor a valid key.
 var ErrMalformed = errors.New("malformed call identifier")
 
 const (
@@ -39,23 +39,23 @@
 	issued      time.Time
 }
 
-// String returns the identifier as the caller gave it.
+// String returns the identifier as given by the caller.
 func (i ID) String() string { return i.text }
 
-// Ticket reports whether the identifier is bound to one incarnation.
+// Ticket reports whether the identifier is a ticket, which is bound to one incarnation.
 func (i ID) Ticket() bool { return i.upstream != "" }
 
-// Upstream returns the upstream a ticket is bound to.
+// Upstream returns the upstream that a ticket is bound to, empty for a key.
 func (i ID) Upstream() string { return i.upstream }
 
-// Incarnation returns the incarnation a ticket is bound to.
+// Incarnation returns the incarnation that a ticket is bound to, empty for a key.
 func (i ID) Incarnation() string { return i.incarnation }
 
-// Issued returns when a caller's key was made, by the caller's clock, and
-// false if the key does not say.
+// Issued returns when a key was created, by the caller's clock. It returns false if the key does
+// not hold a time.
 func (i ID) Issued() (time.Time, bool) { return i.issued, !i.issued.IsZero() }
 
-// NewTicket makes an identifier that can run only in the given incarnation.
+// NewTicket returns a random ticket that is bound to the given incarnation of an upstream.
 func NewTicket(upstream, incarnation string) ID {
 	b := make([]byte, randomBytes)
 	_, _ = rand.Read(b)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Parse reads an identifier. Upstream names may hold dots, so a ticket is read
-// from its end.
+// Parse parses an identifier. The name of an upstream may contain dots, so a ticket is split from
+// its end.
 func Parse(text string) (ID, error) {
 	if text == "" || len(text) > maxKeyBytes || strings.ContainsFunc(text, notPrintable) {
 		return ID{}, fmt.Errorf("%w: %.20q", ErrMalformed, text)
@@ -91,7 +91,7 @@
 	uuidTimeBytes  = 6
 )
 
-// issueTime returns the time in a version 7 UUID, or zero.
+// issueTime returns the time in a version 7 UUID, or the zero time for any other key.
 func issueTime(key string) time.Time {
 	if len(key) != uuidLength || key[uuidVersionPos] != '7' {
 		return time.Time{}
@@ -107,8 +107,9 @@
 	return time.UnixMilli(ms)
 }
 
-// Home returns the upstream of the pool that is responsible for a caller's
-// key: the same in every process that holds the same configuration.
+// Home returns the upstream of the pool that is responsible for a key: the one with the highest
+// hash. It is the same in every process with the same configuration, and removing an upstream
+// moves only the keys of that upstream.
 func Home(key string, pool *config.Pool) string {
 	best, bestScore := "", uint64(0)
 	for _, u := range pool.Upstreams {
--- a/internal/callid/callid_test.go
+++ b/internal/callid/callid_test.go
@@ -19,7 +19,7 @@
 	}{
 		{name: "ticket", text: "tk.led-1.abc.00ff", upstream: "led-1"},
 		{name: "ticket of an upstream with dots", text: "tk.led.a.1.abc.00ff", upstream: "led.a.1"},
-		{name: "short ticket", text: "tk.led-1", err: ErrMalformed},
+		{name: "ticket with missing parts", text: "tk.led-1", err: ErrMalformed},
 		{name: "plain key", text: "reminder-17"},
 		{name: "version 7 UUID", text: "0190163d-8694-739b-aea5-966c26f8ad91", issued: 0x0190163d8694},
 		{name: "version 4 UUID", text: "0190163d-8694-439b-aea5-966c26f8ad91"},
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestHomeMovesOnlyKeysOfTheUpstreamThatLeft(t *testing.T) {
+func TestHomeMovesOnlyKeysOfRemovedUpstream(t *testing.T) {
 	full := &config.Pool{}
 	for i := range 5 {
 		full.Upstreams = append(full.Upstreams, config.Upstream{Name: fmt.Sprint("u", i)})
