--- a/internal/link/quiet.go
+++ b/internal/link/idle.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read:
-// bytes that nobody asked for, or an end, rule it out for another request.
-func quiet(c net.Conn) bool {
+// openAndSilent reports whether an idle connection is open and has nothing to read. Unsolicited
+// bytes or an end of the stream make the connection unusable for another request.
+func openAndSilent(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/link/late.go
+++ b/internal/link/late.go
@@ -11,68 +11,70 @@
 )
 
 const (
-	// lateWithin is how long after the end of its time a request's connection is left to who
-	// reads it: some turns of a process that did not get to run.
-	lateWithin = 100 * time.Millisecond
-	// mostLate bounds in bytes what is read of an answer after that: what has come by then is
-	// in the kernel's buffer.
-	mostLate = 4 << 20
-	// lateChunk is how much of it is read at a time.
-	lateChunk = 64 << 10
+	// closeDelay is how long after the end of a request its connection stays open for the reader.
+	// It covers several scheduling delays of a busy process.
+	closeDelay = 100 * time.Millisecond
+	// maxDrained bounds in bytes how much of an answer is read after the end of the request. By
+	// then the answer is in the kernel's receive buffer.
+	maxDrained = 4 << 20
+	// drainChunk is the size in bytes of one read from that buffer.
+	drainChunk = 64 << 10
 )
 
-// late is the end of an answer's time on a connection. Who reads the connection ends it, after a
-// last look at what has come: an end by a callback of the time limit threw away whole answers
-// that were there, in a process that did not get to run before.
-type late struct {
+// deadlineConn is a connection whose reads end with the request, but which first returns the bytes
+// that were received by then. Closing it directly when the request ends would discard complete
+// answers that a busy process has not read yet, so the reader drains the receive buffer first.
+type deadlineConn struct {
 	net.Conn
-	over atomic.Bool
-	// looked is set after the last look, which found left and, maybe, the end of the answer.
-	looked bool
-	left   []byte
-	ended  bool
+	expired atomic.Bool
+	// drained is set once the receive buffer was read for the last time. received holds the bytes
+	// found there, and eof is set if the answer ended with them.
+	drained  bool
+	received []byte
+	eof      bool
 }
 
-// end ends the time: reads that wait return, and give what has come. A connection that nobody
-// reads is closed a little later.
-func (l *late) end() {
-	l.over.Store(true)
-	// A connection without deadlines is closed below.
-	_ = l.SetDeadline(time.Unix(1, 0))
-	time.AfterFunc(lateWithin, func() { _ = l.Close() })
+// expire ends the request: blocked reads return, and later reads return only bytes that were
+// already received. It closes the connection after closeDelay, in case nobody reads from it.
+func (c *deadlineConn) expire() {
+	c.expired.Store(true)
+	// A connection that does not support deadlines is closed below.
+	_ = c.SetDeadline(time.Unix(1, 0))
+	time.AfterFunc(closeDelay, func() { _ = c.Close() })
 }
 
-// Read reads from the connection, and once the time is over what had come by then.
-func (l *late) Read(b []byte) (int, error) {
-	if l.looked {
-		return l.rest(b, os.ErrDeadlineExceeded)
+// Read reads from the connection. After expire it returns the bytes that were received by then.
+func (c *deadlineConn) Read(b []byte) (int, error) {
+	if c.drained {
+		return c.readReceived(b, os.ErrDeadlineExceeded)
 	}
-	n, err := l.Conn.Read(b)
-	if n > 0 || !l.over.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
+	n, err := c.Conn.Read(b)
+	if n > 0 || !c.expired.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	l.look()
-	return l.rest(b, err)
+	c.drain()
+	return c.readReceived(b, err)
 }
 
-// rest gives what the last look found, then its end: over if the answer had not ended.
-func (l *late) rest(b []byte, over error) (int, error) {
-	n := copy(b, l.left)
-	l.left = l.left[n:]
+// readReceived returns the drained bytes, then io.EOF if the answer ended with them, and timeout
+// otherwise.
+func (c *deadlineConn) readReceived(b []byte, timeout error) (int, error) {
+	n := copy(b, c.received)
+	c.received = c.received[n:]
 	switch {
 	case n > 0:
 		return n, nil
-	case l.ended:
+	case c.eof:
 		return 0, io.EOF
 	default:
-		return 0, over
+		return 0, timeout
 	}
 }
 
-// look reads what has come, without waiting.
-func (l *late) look() {
-	l.looked = true
-	sc, ok := l.Conn.(syscall.Conn)
+// drain reads the receive buffer without blocking.
+func (c *deadlineConn) drain() {
+	c.drained = true
+	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return
 	}
@@ -80,11 +82,13 @@
 	if err != nil {
 		return
 	}
-	chunk := make([]byte, lateChunk)
-	for len(l.left) < mostLate {
+	chunk := make([]byte, drainChunk)
+	for len(c.received) < maxDrained {
 		n, readErr := 0, error(nil)
-		// Control does not mind the deadline, as Read of a RawConn does.
-		err = raw.Control(func(fd uintptr) { n, _, readErr = syscall.Recvfrom(int(fd), chunk, syscall.MSG_DONTWAIT) })
+		// Control is used because it ignores the deadline, which RawConn.Read obeys.
+		err = raw.Control(func(fd uintptr) {
+			n, _, readErr = syscall.Recvfrom(int(fd), chunk, syscall.MSG_DONTWAIT)
+		})
 		switch {
 		case err != nil:
 			return
@@ -93,9 +97,9 @@
 		case readErr != nil:
 			return
 		case n == 0:
-			l.ended = true
+			c.eof = true
 			return
 		}
-		l.left = append(l.left, chunk[:n]...)
+		c.received = append(c.received, chunk[:n]...)
 	}
 }
--- a/internal/link/late_test.go
+++ b/internal/link/late_test.go
@@ -10,19 +10,20 @@
 	"time"
 )
 
-// stalled is a connection whose reader does not get to run until it is let go.
+// stalled is a connection whose reads block until resume is closed, as in a process that is not
+// scheduled.
 type stalled struct {
 	*net.TCPConn
-	letGo chan struct{}
+	resume chan struct{}
 }
 
 func (s *stalled) Read(b []byte) (int, error) {
-	<-s.letGo
+	<-s.resume
 	return s.TCPConn.Read(b)
 }
 
-// stalledPool is a Pool whose connections are not read before letGo is closed.
-func stalledPool(letGo chan struct{}) *Pool {
+// stalledPool returns a Pool whose connections block reads until resume is closed.
+func stalledPool(resume chan struct{}) *Pool {
 	d := &net.Dialer{}
 	return New(Settings{DialWithin: time.Second, IdleUnknown: time.Minute, IDHeader: "X-Id"},
 		func(ctx context.Context, address string) (net.Conn, error) {
@@ -30,43 +31,43 @@
 			if err != nil {
 				return nil, err
 			}
-			return &stalled{c.(*net.TCPConn), letGo}, nil
+			return &stalled{c.(*net.TCPConn), resume}, nil
 		}, time.Now)
 }
 
-// An answer had come, and the entry did not get to run before its time limit passed: a callback of
-// the limit closed the connection to the upstream, and the answer was thrown away unread for a
-// 504, though it was there. `answer-rejected` said `use of closed network connection`.
-func TestAnswerThatHasComeWhenItsTimeIsOver(t *testing.T) {
+// An answer is received, but the process is not scheduled until the request's time limit has
+// passed. If the limit closes the connection, the answer is lost unread and the caller gets a 504.
+// The test checks that received bytes are read first.
+func TestReceivedAnswerIsReadAfterCancel(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		answer string
 		whole  bool
 	}{
-		{"whole, with a length", "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 4\n\nbody", true},
-		{"whole, in chunks", "HTTP/1.1 200 OK\nX-Id: 1\nTransfer-Encoding: chunked\n\n4\nbody\n0\n\n", true},
-		{"a part", "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 9\n\nbody", false},
-		{"nothing", "", false},
+		{"complete, with Content-Length", "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 4\n\nbody", true},
+		{"complete, chunked", "HTTP/1.1 200 OK\nX-Id: 1\nTransfer-Encoding: chunked\n\n4\nbody\n0\n\n", true},
+		{"incomplete", "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 9\n\nbody", false},
+		{"empty", "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			said, hold := make(chan struct{}), make(chan struct{})
+			answered, hold := make(chan struct{}), make(chan struct{})
 			defer close(hold)
 			u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 				readRequest(t, r)
-				say(c, tc.answer)
-				close(said)
+				writeText(c, tc.answer)
+				close(answered)
 				<-hold
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			run := make(chan struct{})
+			resume := make(chan struct{})
 			type got struct {
 				body string
 				err  error
 			}
 			done := make(chan got, 1)
 			go func() {
-				a, err := stalledPool(run).Do(ctx, u.address, request("1"))
+				a, err := stalledPool(resume).Do(ctx, u.address, request("1"))
 				if err != nil {
 					done <- got{err: err}
 					return
@@ -75,14 +76,14 @@
 				b, err := io.ReadAll(a)
 				done <- got{string(b), err}
 			}()
-			<-said
+			<-answered
 			time.Sleep(20 * time.Millisecond)
 			cancel()
 			time.Sleep(20 * time.Millisecond)
-			close(run)
+			close(resume)
 			g := <-done
 			if whole := g.err == nil && g.body == "body"; whole != tc.whole {
-				t.Errorf("got %q, %v; want it whole: %v", g.body, g.err, tc.whole)
+				t.Errorf("got %q, %v; want a complete answer: %v", g.body, g.err, tc.whole)
 			}
 			if !tc.whole && !errors.Is(g.err, ErrBroken) {
 				t.Errorf("error %v, want %v", g.err, ErrBroken)
@@ -91,13 +92,13 @@
 	}
 }
 
-// TestEndOfTheTimeEndsASteadyAnswer covers one that goes on: what comes after the end is not
-// waited for, and the upstream sees the end at once.
-func TestEndOfTheTimeEndsASteadyAnswer(t *testing.T) {
+// TestCancelStopsOngoingAnswer checks that a cancelled request does not wait for more of an answer
+// that is still being sent, and that the upstream sees the end of the connection at once.
+func TestCancelStopsOngoingAnswer(t *testing.T) {
 	ended := make(chan time.Time, 1)
 	u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		readRequest(t, r)
-		say(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 100000000\n\n")
+		writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 100000000\n\n")
 		for {
 			if _, err := c.Write(make([]byte, 64)); err != nil {
 				ended <- time.Now()
@@ -113,22 +114,22 @@
 	}
 	time.AfterFunc(50*time.Millisecond, cancel)
 	if _, err := io.Copy(io.Discard, a); err == nil {
-		t.Error("an answer that goes on was whole")
+		t.Error("an unfinished answer was read without an error")
 	}
-	over := time.Now()
+	cancelledAt := time.Now()
 	a.Close()
-	if late := (<-ended).Sub(over); late > 100*time.Millisecond {
-		t.Errorf("the upstream saw the end %s late", late)
+	if late := (<-ended).Sub(cancelledAt); late > 100*time.Millisecond {
+		t.Errorf("the upstream saw the end of the connection %s late", late)
 	}
 }
 
-// TestEndOfTheTimeFreesTheUpstream covers a caller of this package that does not read: the upstream
-// is not kept at work for that.
-func TestEndOfTheTimeFreesTheUpstream(t *testing.T) {
+// TestCancelClosesUnreadConnection checks that the connection of a cancelled request is closed
+// even if nobody reads the answer, so that the upstream does not go on working for it.
+func TestCancelClosesUnreadConnection(t *testing.T) {
 	ended := make(chan time.Time, 1)
 	u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		readRequest(t, r)
-		say(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 9\n\nbody")
+		writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 9\n\nbody")
 		_, _ = r.ReadByte()
 		ended <- time.Now()
 	})
@@ -138,9 +139,9 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	over := time.Now()
+	cancelledAt := time.Now()
 	cancel()
-	if late := (<-ended).Sub(over); late > 300*time.Millisecond {
-		t.Errorf("the upstream saw the end %s late", late)
+	if late := (<-ended).Sub(cancelledAt); late > 300*time.Millisecond {
+		t.Errorf("the upstream saw the end of the connection %s late", late)
 	}
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,9 +1,8 @@
-// Package link sends single HTTP/1.1 requests to upstreams over kept
-// connections. It exists beside net/http's own client because a caller must
-// know whether a request can have reached the upstream: it never sends a
-// request twice, it tells a failure before the first byte from a later one, and
-// it pairs each answer with its request by identifier. The encoding of headers
-// and the parsing of answers are net/http's.
+// Package link sends single HTTP/1.1 requests to upstreams over pooled connections. The gateway uses
+// it in place of net/http's client because it must know whether a request can have reached the
+// upstream: a Pool never sends a request twice, distinguishes a failure before the first byte from
+// a later one, and matches each answer to its request by identifier. Headers are encoded and
+// answers are parsed by net/http.
 package link
 
 import (
@@ -21,32 +20,31 @@
 	"time"
 )
 
-// ErrNotSent is wrapped when no byte of the request left this process, so the
-// upstream cannot have run it.
+// ErrNotSent is wrapped when no byte of the request was sent, so the upstream cannot have run it.
 var ErrNotSent = errors.New("request was not sent")
 
-// ErrBroken is wrapped when the connection failed after the request, or part of
-// it, was sent: the upstream may have run it.
+// ErrBroken is wrapped when the connection failed after all or part of the request was sent, so
+// the upstream may have run it.
 var ErrBroken = errors.New("connection to upstream broke")
 
-// Settings are the fixed numbers of a Pool.
+// Settings are the fixed parameters of a Pool.
 type Settings struct {
-	// DialWithin bounds the time a new connection may take to come up.
+	// DialWithin bounds the time for opening a new connection.
 	DialWithin time.Duration
-	// IdleUnknown is how long a connection is kept when the upstream did not
-	// say for how long it keeps it.
+	// IdleUnknown is how long an idle connection is kept if the upstream does not state its idle
+	// timeout.
 	IdleUnknown time.Duration
-	// IdleMargin is taken off the time an upstream says it keeps a connection,
-	// so that a request does not cross its close.
+	// IdleMargin is subtracted from the idle timeout that an upstream states, so that no request
+	// is sent while the upstream closes the connection.
 	IdleMargin time.Duration
-	// HeadWithin is how long after a request was cancelled the head of its answer is waited
-	// for: what an upstream says of itself there counts for the next ones.
+	// HeadWithin is how long after the cancellation of a request the head of its answer is still
+	// awaited. The head may hold information about the upstream that counts for later requests.
 	HeadWithin time.Duration
-	// IDHeader is the header by which an answer names its request.
+	// IDHeader is the response header that holds the identifier of the request.
 	IDHeader string
 }
 
-// Pool keeps idle connections to upstreams.
+// Pool sends requests to upstreams and keeps idle connections to them.
 type Pool struct {
 	settings Settings
 	dial     func(ctx context.Context, address string) (net.Conn, error)
@@ -61,86 +59,87 @@
 	return &Pool{settings: settings, dial: dial, now: now, idle: map[string][]*conn{}}
 }
 
-// conn is one connection; it carries one request at a time.
+// conn is one connection. It carries one request at a time.
 type conn struct {
-	*late
+	*deadlineConn
 	address string
 	r       *bufio.Reader
-	// heard is set once the head of the answer under way was read.
-	heard   atomic.Bool
-	expires time.Time
-	lastID  string
+	// headRead is set once the head of the current answer was read.
+	headRead atomic.Bool
+	expires  time.Time
+	lastID   string
 }
 
-// usable reports whether an idle connection can carry another request: its time is
-// not over, and the upstream has neither closed it nor sent what nobody asked for.
-func (c *conn) usable(now time.Time) bool { return now.Before(c.expires) && quiet(c.Conn) }
+// usable reports whether an idle connection can carry another request: it has not expired, and the
+// upstream has neither closed it nor sent unsolicited bytes.
+func (c *conn) usable(now time.Time) bool { return now.Before(c.expires) && openAndSilent(c.Conn) }
 
-// Request is what is sent to an upstream. Target is the request target as it
-// stands on the request line, so that its bytes stay as the caller sent them.
+// Request is a request to an upstream. Target is the request target exactly as on the caller's
+// request line, so that its bytes are passed on unchanged.
 type Request struct {
 	Method string
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the identifier that the answer must name; empty for none.
+	// ID is the identifier that the answer is expected to carry; empty for none.
 	ID string
-	// Fresh asks for a new connection.
+	// Fresh requests a new connection instead of an idle one.
 	Fresh bool
 }
 
-// Answer is the head of an upstream's answer; its body is still to be read.
-// Close must be called once.
+// Answer is the head of an upstream's answer; the body is read with Read. Close must be called
+// once.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body in bytes, -1 if it is not known ahead.
+	// Length is the length of the body in bytes, or -1 if it is not known in advance.
 	Length int64
-	// Framed is false when only the end of the connection ends the body.
+	// Framed is false if the body ends only with the end of the connection.
 	Framed bool
 
-	pool    *Pool
-	conn    *conn
-	body    io.ReadCloser
-	stop    func() bool
-	written <-chan error
-	ended   bool
-	close   bool
+	pool       *Pool
+	conn       *conn
+	body       io.ReadCloser
+	stopExpiry func() bool
+	written    <-chan error
+	eof        bool
+	close      bool
 }
 
 // Do sends one request and reads the head of its answer. When ctx ends, also while the body is
-// read, what has come by then can be read, and the connection is closed; if ctx is cancelled before
-// the head has come, HeadWithin later.
+// read, bytes received by then can still be read, and the connection is closed. If ctx is
+// cancelled before the head was read, this happens HeadWithin later.
 func (p *Pool) Do(ctx context.Context, address string, req Request) (*Answer, error) {
 	c, err := p.connect(ctx, address, req.Fresh)
 	if err != nil {
 		return nil, err
 	}
-	c.heard.Store(false)
-	stop := context.AfterFunc(ctx, func() { p.giveUp(ctx, c) })
+	c.headRead.Store(false)
+	stop := context.AfterFunc(ctx, func() { p.expireRequest(ctx, c) })
 	a, err := p.exchange(c, req)
-	c.heard.Store(true)
+	c.headRead.Store(true)
 	if err != nil {
 		stop()
 		_ = c.Close()
 		return nil, err
 	}
-	a.stop = stop
+	a.stopExpiry = stop
 	return a, nil
 }
 
-// giveUp ends the time of a request whose context has ended. One that was cancelled for a reason of
-// its own ends at once, as one whose time is over does.
-func (p *Pool) giveUp(ctx context.Context, c *conn) {
-	if c.heard.Load() || !errors.Is(context.Cause(ctx), context.Canceled) {
-		c.end()
+// expireRequest ends reads for a request whose context has ended. It waits for the head only after
+// a plain cancellation; a context that ended with its deadline or with another cause ends reads at
+// once.
+func (p *Pool) expireRequest(ctx context.Context, c *conn) {
+	if c.headRead.Load() || !errors.Is(context.Cause(ctx), context.Canceled) {
+		c.expire()
 		return
 	}
-	time.AfterFunc(p.settings.HeadWithin, c.end)
+	time.AfterFunc(p.settings.HeadWithin, c.expire)
 }
 
-// connect takes an idle connection that is still open, or makes a new one.
+// connect returns an idle connection that is still usable, or opens a new one.
 func (p *Pool) connect(ctx context.Context, address string, fresh bool) (*conn, error) {
 	if !fresh {
 		if c := p.takeIdle(address); c != nil {
@@ -153,12 +152,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	l := &late{Conn: nc}
-	return &conn{late: l, address: address, r: bufio.NewReaderSize(l, readBuffer)}, nil
+	dc := &deadlineConn{Conn: nc}
+	return &conn{deadlineConn: dc, address: address, r: bufio.NewReaderSize(dc, readBufferSize)}, nil
 }
 
-// Reach opens a connection to an address and closes it: it tells whether anything listens
-// there.
+// Reach opens a connection to an address and closes it. It returns an error if nothing accepts
+// connections there.
 func (p *Pool) Reach(ctx context.Context, address string) error {
 	c, err := p.connect(ctx, address, true)
 	if err != nil {
@@ -167,9 +166,9 @@
 	return c.Close()
 }
 
-// readBuffer is the size in bytes of a connection's read buffer: some ten
-// events of a stream.
-const readBuffer = 4 << 10
+// readBufferSize is the size in bytes of a connection's read buffer, enough for about ten events
+// of a stream.
+const readBufferSize = 4 << 10
 
 func (p *Pool) takeIdle(address string) *conn {
 	for {
@@ -197,8 +196,8 @@
 	return c
 }
 
-// Sweep closes connections whose time is over or whose upstream closed them or
-// sent bytes that nobody asked for.
+// Sweep closes idle connections that have expired, were closed by the upstream or received
+// unsolicited bytes.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,13 +219,14 @@
 	}
 }
 
-// asyncBody is the size in bytes from which a body is written while the answer
-// is awaited: an upstream may answer before it has read all of it.
-const asyncBody = 16 << 10
+// asyncBodySize is the size in bytes above which a body is written in the background, because an
+// upstream may answer before it has read all of it.
+const asyncBodySize = 16 << 10
 
-// exchange writes the request and reads answers until the one that names it.
+// exchange writes the request and reads the head of its answer, skipping repeated answers to the
+// previous request.
 func (p *Pool) exchange(c *conn, req Request) (*Answer, error) {
-	written, err := send(c, req)
+	written, err := writeRequest(c, req)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 	}
@@ -235,7 +235,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 		}
-		if p.otherRequest(c, req, resp) {
+		if p.answersPreviousRequest(c, req, resp) {
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 				return nil, fmt.Errorf("%w: answer to another request", ErrBroken)
 			}
@@ -249,9 +249,9 @@
 	}
 }
 
-// otherRequest reports whether an answer belongs to the request before this
-// one: an upstream may answer a request twice.
-func (p *Pool) otherRequest(c *conn, req Request, resp *http.Response) bool {
+// answersPreviousRequest reports whether an answer belongs to the previous request on the
+// connection, since an upstream may answer a request twice.
+func (p *Pool) answersPreviousRequest(c *conn, req Request, resp *http.Response) bool {
 	if req.ID == "" || p.settings.IDHeader == "" {
 		return false
 	}
@@ -262,7 +262,7 @@
 	return c.lastID != "" && resp.Header.Get(p.settings.IDHeader) == c.lastID
 }
 
-// readHead reads the head of a final answer, past informational ones.
+// readHead reads the head of the final answer and skips informational (1xx) ones.
 func readHead(r *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(r, &http.Request{Method: method})
@@ -275,28 +275,28 @@
 	}
 }
 
-// send writes the request. A large body is written in the background; the
-// channel then tells how that ended, and nothing else may be sent before.
-func send(c *conn, req Request) (<-chan error, error) {
-	w := bufio.NewWriterSize(c, asyncBody)
-	head(w, req)
-	done := make(chan error, 1)
-	if len(req.Body) <= asyncBody {
+// writeRequest writes the request, a large body in the background. The channel receives the result
+// of the write, and nothing else may be written to the connection before.
+func writeRequest(c *conn, req Request) (<-chan error, error) {
+	w := bufio.NewWriterSize(c, asyncBodySize)
+	writeHead(w, req)
+	written := make(chan error, 1)
+	if len(req.Body) <= asyncBodySize {
 		_, _ = w.Write(req.Body)
 		err := w.Flush()
-		done <- err
-		return done, err
+		written <- err
+		return written, err
 	}
 	go func() {
 		_, _ = w.Write(req.Body)
-		done <- w.Flush()
+		written <- w.Flush()
 	}()
-	return done, nil
+	return written, nil
 }
 
-// head writes the request line and the headers; the bufio.Writer keeps the
-// first error for its Flush.
-func head(w *bufio.Writer, req Request) {
+// writeHead writes the request line and the headers. Errors are ignored here because the
+// bufio.Writer returns the first one from Flush.
+func writeHead(w *bufio.Writer, req Request) {
 	_, _ = w.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 	_ = req.Header.Write(w)
 	if len(req.Body) > 0 || req.Method == http.MethodPost || req.Method == http.MethodPut || req.Method == http.MethodPatch {
@@ -305,34 +305,33 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// Read reads the body; io.EOF means that it is whole.
+// Read reads the body. It returns io.EOF only after a complete body.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	switch {
 	case errors.Is(err, io.EOF):
-		a.ended = true
+		a.eof = true
 	case err != nil:
 		err = fmt.Errorf("%w: %w", ErrBroken, err)
 	}
 	return n, err
 }
 
-// Closing reports whether the upstream said that it closes the connection after
-// this answer.
+// Closing reports whether the upstream announced that it closes the connection after this answer.
 func (a *Answer) Closing() bool { return a.close }
 
-// Close gives the connection back if the answer was read to its end and
-// nothing else stands against it, and closes it otherwise.
+// Close returns the connection to the pool if the answer was read to its end and the connection is
+// reusable, and closes it otherwise.
 func (a *Answer) Close() {
-	if !a.stop() || !a.reusable() {
+	if !a.stopExpiry() || !a.reusable() {
 		_ = a.conn.Close()
 		return
 	}
-	a.pool.keep(a.conn, a.Header)
+	a.pool.putIdle(a.conn, a.Header)
 }
 
 func (a *Answer) reusable() bool {
-	if !a.ended || a.close || !a.Framed || a.conn.r.Buffered() > 0 {
+	if !a.eof || a.close || !a.Framed || a.conn.r.Buffered() > 0 {
 		return false
 	}
 	select {
@@ -343,15 +342,16 @@
 	}
 }
 
-func (p *Pool) keep(c *conn, h http.Header) {
-	c.expires = p.now().Add(p.keepFor(h))
+func (p *Pool) putIdle(c *conn, h http.Header) {
+	c.expires = p.now().Add(p.idleTimeout(h))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// keepFor reads how long the upstream keeps an idle connection.
-func (p *Pool) keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long an idle connection may be kept, from the Keep-Alive header of the
+// upstream.
+func (p *Pool) idleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		n, err := strconv.Atoi(value)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// upstream accepts connections on loopback and lets serve answer on each.
+// upstream listens on loopback and runs a handler on each accepted connection.
 type upstream struct {
 	address string
 	opened  chan net.Conn
@@ -50,7 +50,7 @@
 		}, time.Now)
 }
 
-// readRequest reads one request and returns its head and body.
+// readRequest reads one request and returns its head and body, or nil if the connection has ended.
 func readRequest(t *testing.T, r *bufio.Reader) (*http.Request, string) {
 	t.Helper()
 	req, err := http.ReadRequest(r)
@@ -64,13 +64,15 @@
 	return req, string(b)
 }
 
-func say(c net.Conn, text string) { _, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n")) }
+func writeText(c net.Conn, text string) {
+	_, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
+}
 
 func request(id string) Request {
 	return Request{Method: http.MethodPost, Target: "/a//b%2Fc?x=1&", Host: "host.example", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), ID: id}
 }
 
-// ask sends a request and returns the answer's body.
+// ask sends a request and returns the body of the answer.
 func ask(t *testing.T, p *Pool, address string, req Request) (string, error) {
 	t.Helper()
 	a, err := p.Do(t.Context(), address, req)
@@ -87,32 +89,32 @@
 	u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		req, body := readRequest(t, r)
 		got <- req.Method + " " + req.RequestURI + " " + req.Host + " " + body
-		say(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 2\n\nok")
+		writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 2\n\nok")
 	})
 	body, err := ask(t, newPool(), u.address, request("1"))
 	if err != nil || body != "ok" {
 		t.Fatalf("answer %q, %v", body, err)
 	}
 	if want := "POST /a//b%2Fc?x=1& host.example body"; <-got != want {
-		t.Errorf("the upstream got something else than %q", want)
+		t.Errorf("the upstream did not receive %q", want)
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		head   string
 		after  string
 		opened int
 	}{
-		{"a whole answer", "Content-Length: 2\n", "", 1},
-		{"an answer in chunks", "Transfer-Encoding: chunked\n", "", 1},
-		{"an upstream that closes", "Content-Length: 2\nConnection: close\n", "", 2},
-		{"a body that only the end of the connection ends", "", "", 2},
-		{"bytes that nobody asked for", "Content-Length: 2\n", "HTTP/1.1 200 OK\n", 2},
-		{"an upstream that closes without a word", "Content-Length: 2\nX-Test-Closes: 1\n", "", 2},
-		{"an upstream that keeps connections for a second", "Content-Length: 2\nKeep-Alive: timeout=1\n", "", 1},
-		{"an upstream that keeps connections for no time", "Content-Length: 2\nKeep-Alive: timeout=0\n", "", 2},
+		{"answer with Content-Length", "Content-Length: 2\n", "", 1},
+		{"chunked answer", "Transfer-Encoding: chunked\n", "", 1},
+		{"Connection: close", "Content-Length: 2\nConnection: close\n", "", 2},
+		{"body ended by the end of the connection", "", "", 2},
+		{"unsolicited bytes", "Content-Length: 2\n", "HTTP/1.1 200 OK\n", 2},
+		{"connection closed without notice", "Content-Length: 2\nX-Test-Closes: 1\n", "", 2},
+		{"Keep-Alive timeout of one second", "Content-Length: 2\nKeep-Alive: timeout=1\n", "", 1},
+		{"Keep-Alive timeout of zero", "Content-Length: 2\nKeep-Alive: timeout=0\n", "", 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
@@ -125,7 +127,7 @@
 					if strings.Contains(tc.head, "chunked") {
 						body = "2\nok\n0\n\n"
 					}
-					say(c, "HTTP/1.1 200 OK\nX-Id: "+req.Header.Get("X-Id")+"\n"+tc.head+"\n"+body+tc.after)
+					writeText(c, "HTTP/1.1 200 OK\nX-Id: "+req.Header.Get("X-Id")+"\n"+tc.head+"\n"+body+tc.after)
 					if tc.head == "" || strings.Contains(tc.head, "X-Test-Closes") {
 						return
 					}
@@ -136,7 +138,7 @@
 				if body, err := ask(t, p, u.address, request(id)); err != nil || body != "ok" {
 					t.Fatalf("answer %s: %q, %v", id, body, err)
 				}
-				// What the upstream sends after its answer must have come.
+				// Waits until bytes that the upstream sends after its answer have arrived.
 				time.Sleep(10 * time.Millisecond)
 			}
 			if n := len(u.opened); n != tc.opened {
@@ -146,15 +148,15 @@
 	}
 }
 
-// An upstream may answer a request twice; the second answer comes in the place
-// of the next one.
-func TestAnswerToTheRequestBefore(t *testing.T) {
+// An upstream may answer a request twice. The repeated answer must not be taken for the answer to
+// the next request.
+func TestRepeatedAnswerIsSkipped(t *testing.T) {
 	u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		readRequest(t, r)
-		say(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 5\n\nfirst")
+		writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 5\n\nfirst")
 		readRequest(t, r)
-		say(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 5\n\nfirst")
-		say(c, "HTTP/1.1 200 OK\nX-Id: 2\nContent-Length: 6\n\nsecond")
+		writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 5\n\nfirst")
+		writeText(c, "HTTP/1.1 200 OK\nX-Id: 2\nContent-Length: 6\n\nsecond")
 	})
 	p := newPool()
 	for id, want := range map[string]string{"1": "first"} {
@@ -163,36 +165,39 @@
 		}
 	}
 	if body, err := ask(t, p, u.address, request("2")); err != nil || body != "second" {
-		t.Errorf("answer %q, %v; want the one to this request", body, err)
+		t.Errorf("answer %q, %v; want the answer to the second request", body, err)
 	}
 }
 
-func TestFailuresTellWhetherTheRequestWasSent(t *testing.T) {
+func TestErrorTellsWhetherRequestWasSent(t *testing.T) {
 	dead, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := dead.Addr().String()
+	unusedAddress := dead.Addr().String()
 	_ = dead.Close()
 	for _, tc := range []struct {
 		name  string
 		serve func(c net.Conn, r *bufio.Reader)
 		want  error
 	}{
-		{"nobody listens", nil, ErrNotSent},
-		{"the connection closes without an answer", func(_ net.Conn, r *bufio.Reader) { readRequest(t, r) }, ErrBroken},
-		{"the answer is no HTTP", func(c net.Conn, r *bufio.Reader) { readRequest(t, r); say(c, "what?\n\n") }, ErrBroken},
-		{"the body breaks off", func(c net.Conn, r *bufio.Reader) {
+		{"connection refused", nil, ErrNotSent},
+		{"connection closed without an answer", func(_ net.Conn, r *bufio.Reader) { readRequest(t, r) }, ErrBroken},
+		{"answer that is not HTTP", func(c net.Conn, r *bufio.Reader) {
+			readRequest(t, r)
+			writeText(c, "what?\n\n")
+		}, ErrBroken},
+		{"truncated body", func(c net.Conn, r *bufio.Reader) {
 			readRequest(t, r)
-			say(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 9\n\nhalf")
+			writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 9\n\nhalf")
 		}, ErrBroken},
-		{"the last chunk is missing", func(c net.Conn, r *bufio.Reader) {
+		{"missing last chunk", func(c net.Conn, r *bufio.Reader) {
 			readRequest(t, r)
-			say(c, "HTTP/1.1 200 OK\nX-Id: 1\nTransfer-Encoding: chunked\n\n4\nhalf\n")
+			writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nTransfer-Encoding: chunked\n\n4\nhalf\n")
 		}, ErrBroken},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			address := nobody
+			address := unusedAddress
 			if tc.serve != nil {
 				address = newUpstream(t, tc.serve).address
 			}
@@ -203,14 +208,14 @@
 	}
 }
 
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+func TestEarlyAnswerToLargeBody(t *testing.T) {
 	big := request("1")
 	big.Body = make([]byte, 8<<20)
 	u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		say(c, "HTTP/1.1 413 Too Large\nX-Id: 1\nContent-Length: 0\n\n")
+		writeText(c, "HTTP/1.1 413 Too Large\nX-Id: 1\nContent-Length: 0\n\n")
 		time.Sleep(50 * time.Millisecond)
 	})
 	p := newPool()
@@ -221,7 +226,7 @@
 	_, _ = io.Copy(io.Discard, a)
 	a.Close()
 	if c := p.popIdle(u.address); c != nil {
-		t.Error("a connection on which the body was not sent whole was kept")
+		t.Error("a connection with a partly sent body was kept")
 	}
 }
 
@@ -246,10 +251,10 @@
 	<-closed
 }
 
-func TestIdleConnectionsEnd(t *testing.T) {
+func TestIdleConnectionExpires(t *testing.T) {
 	u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		readRequest(t, r)
-		say(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 0\nKeep-Alive: timeout=2\n\n")
+		writeText(c, "HTTP/1.1 200 OK\nX-Id: 1\nContent-Length: 0\nKeep-Alive: timeout=2\n\n")
 		_, _ = r.ReadByte()
 	})
 	p := newPool()
@@ -258,20 +263,20 @@
 	}
 	p.Sweep()
 	if len(p.idle[u.address]) != 1 {
-		t.Fatal("an open connection was not kept")
+		t.Fatal("a usable connection was closed")
 	}
 	later := time.Now().Add(1400 * time.Millisecond)
 	p.now = func() time.Time { return later }
 	p.Sweep()
 	if len(p.idle[u.address]) != 0 {
-		t.Error("a connection is kept nearly as long as the upstream keeps it")
+		t.Error("a connection was kept within IdleMargin of the upstream's timeout")
 	}
 }
 
-// A request's time ends at the moment at which its answer is closed and its connection
-// is kept. The connection either ends or carries the next request, but is never ended
-// under it; nor does a sweep end it there.
-func TestEndOfARequestLeavesTheNextOneAlone(t *testing.T) {
+// A request may be cancelled while its answer is closed and its connection returned to the pool.
+// Neither the cancellation nor a concurrent sweep may close a connection that already carries the
+// next request.
+func TestCancelDoesNotAffectNextRequest(t *testing.T) {
 	const rounds = 300
 	u := newUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -279,11 +284,11 @@
 			if req == nil {
 				return
 			}
-			say(c, "HTTP/1.1 200 OK\nX-Id: "+req.Header.Get("X-Id")+"\nContent-Length: 2\n\nok")
+			writeText(c, "HTTP/1.1 200 OK\nX-Id: "+req.Header.Get("X-Id")+"\nContent-Length: 2\n\nok")
 		}
 	})
 	go func() {
-		// Each connection is told of; there are many.
+		// Empties the channel, which would otherwise block the upstream after 16 connections.
 		for {
 			select {
 			case <-u.opened:
@@ -311,9 +316,9 @@
 	}
 }
 
-// An upstream that starts again has its address again: what is sent to it must not go over
-// a connection to the earlier start, where nobody could tell whether it ran.
-func TestConnectionToAnEarlierStartIsNotUsed(t *testing.T) {
+// A restarted upstream has the same address. A request must not be sent over a connection to its
+// previous incarnation, since the caller could not tell whether the request ran.
+func TestConnectionToPreviousIncarnationIsNotReused(t *testing.T) {
 	p, address := newPool(), "127.0.0.1:0"
 	for _, id := range []string{"1", "2"} {
 		l, err := net.Listen("tcp4", address)
@@ -334,7 +339,7 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		// The end of the connection must have come.
+		// Waits until the end of the connection has arrived.
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -72,8 +72,8 @@
 mutant relay-hold internal/relay/store.go 's/return min\(max\(left, holdLeast\), s\.settings\.Wait\)/_ = left\n\treturn s.settings.Wait/' internal/relay TestQuestionIsHeld
 mutant retries-together internal/routing/window.go 's/\(lately\+1\)\*float64\(heard\) > left\+lately/lately+1 > left+lately+0*float64(heard)/' internal/routing TestEntriesTogether
 mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), keptPart\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
-mutant link-pairs internal/link/link.go 's/if p\.otherRequest\(c, req, resp\) \{/if false {/' internal/link TestAnswerToTheRequestBefore
-mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && quiet\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionsAreKept'
+mutant link-pairs internal/link/link.go 's/if p\.answersPreviousRequest\(c, req, resp\) \{/if false {/' internal/link TestRepeatedAnswerIsSkipped
+mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && openAndSilent\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionReuse'
 mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfAnEarlierLife
 mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestWhenTheDelegate
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.firstHand && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
@@ -339,6 +339,6 @@
 mutant held-peers internal/quarantine/suspect.go 's/within = newsWithin/within = 0/' $held TestSoundRequestHeldBefore
 mutant held-bystanders internal/quarantine/verdict.go 's/len\(ends\) > 1 && !o\.covers\(u, other\)/len(ends) > 1/' $held TestRequestNotHeld
 
-mutant answer-cancelled internal/link/link.go 's/if c\.heard\.Load\(\) \|\| /if true || /' internal/gateway TestAnswerOfATryThatLost
+mutant answer-cancelled internal/link/link.go 's/if c\.headRead\.Load\(\) \|\| /if true || /' internal/gateway TestAnswerOfATryThatLost
 
 finish
