--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,6 +1,6 @@
-// Package inflight counts what is in flight, so that a planned stop can wait for
-// it. A sync.WaitGroup does not serve here: work may still come while someone
-// waits, which its documentation rules out.
+// Package inflight counts the requests in flight, so that a draining entry or sidecar can wait for
+// them. A sync.WaitGroup is not suitable: new requests may still arrive while a caller waits, which its
+// documentation forbids when the counter is zero.
 package inflight
 
 import (
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// poll is how often a waiter looks; a planned stop is in no hurry.
-const poll = 20 * time.Millisecond
+// pollInterval is how often Idle checks the counter. Draining is not urgent, so polling is enough.
+const pollInterval = 20 * time.Millisecond
 
-// Counter counts what is in flight.
+// Counter counts requests in flight. The zero value is ready to use.
 type Counter struct{ n atomic.Int64 }
 
-// Enter adds one.
+// Enter counts a request that begins.
 func (c *Counter) Enter() { c.n.Add(1) }
 
-// Leave takes one away.
+// Leave counts a request that ends.
 func (c *Counter) Leave() { c.n.Add(-1) }
 
-// Idle waits until nothing is in flight; it returns false if ctx ends first.
+// Idle waits until no request is in flight. It returns false if ctx ends first.
 func (c *Counter) Idle(ctx context.Context) bool {
 	for c.n.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 	}
 	return true
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestIdleWhileOthersComeAndGo waits while work still comes.
-func TestIdleWhileOthersComeAndGo(t *testing.T) {
+// TestIdleDuringConcurrentEnterLeave calls Idle while other goroutines enter and leave.
+func TestIdleDuringConcurrentEnterLeave(t *testing.T) {
 	var c Counter
 	var workers sync.WaitGroup
 	for range 8 {
@@ -25,22 +25,22 @@
 	}
 	workers.Wait()
 	if !c.Idle(t.Context()) {
-		t.Error("not idle after all left")
+		t.Error("not idle after all goroutines have left")
 	}
 }
 
-func TestIdleGivesUpAtTheDeadline(t *testing.T) {
+func TestIdleReturnsFalseAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Counter
 		c.Enter()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if c.Idle(ctx) {
-			t.Error("idle with one in flight")
+			t.Error("idle with one request in flight")
 		}
 		c.Leave()
 		if !c.Idle(t.Context()) {
-			t.Error("not idle with none in flight")
+			t.Error("not idle with no request in flight")
 		}
 	})
 }
