--- a/internal/peer/answer_test.go
+++ b/internal/peer/answer_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// encoded calls a function while it is made ready to be written.
+// encoded calls a function when it is encoded as JSON.
 type encoded func()
 
 // MarshalJSON calls the function.
@@ -16,9 +16,9 @@
 	return []byte(`"told"`), nil
 }
 
-// A process that stops waits for its answers. A handler's return is too early a sign
-// that an answer is out; Sent is called after the write, also for a refusal.
-func TestSentIsCalledOnceTheAnswerIsOut(t *testing.T) {
+// A process that shuts down waits until its answers are written. The return of a handler is too
+// early, so Sent must be called after the write, also for an error.
+func TestSentIsCalledAfterWrite(t *testing.T) {
 	tests := []struct {
 		name string
 		err  error
@@ -31,7 +31,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			sent := make(chan struct{})
 			early := false
-			s := start(t, Methods{"ask": func(context.Context, *Conn, json.RawMessage) (any, error) {
+			s := startServer(t, Methods{"ask": func(context.Context, *Conn, json.RawMessage) (any, error) {
 				writing := encoded(func() {
 					select {
 					case <-sent:
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -1,6 +1,7 @@
-// Package peer carries JSON-RPC between the processes of the system: one TCP
-// connection per pair that talks, length-framed, calls in both directions, and
-// notifications handled in the order in which they were sent.
+// Package peer carries JSON-RPC between the processes of the system, such as entries and sidecars,
+// which call each other through it. Two processes share one TCP connection with length-prefixed
+// messages and calls in both directions. Calls are handled concurrently, notifications in the
+// order in which they were sent.
 package peer
 
 import (
@@ -17,22 +18,21 @@
 	"github.com/sparshore/sparshore/internal/guard"
 )
 
-// ErrLost is returned when the connection ended before an answer came. The
-// other side may or may not have acted.
+// ErrLost is returned when the connection ended before an answer arrived. The remote side may or
+// may not have acted on the message.
 var ErrLost = errors.New("connection lost")
 
-// ErrUnreachable is returned when no connection could be made, so that nothing
-// was sent.
+// ErrUnreachable is returned when no connection could be opened, so that nothing was sent.
 var ErrUnreachable = errors.New("peer unreachable")
 
-// ErrRefused is returned when the other side answered with an error.
+// ErrRefused is returned when the remote side answered with an error.
 var ErrRefused = errors.New("peer refused the message")
 
-// Handler answers one method. Its result is ignored for notifications.
+// Handler handles one method. Its result is ignored for notifications.
 type Handler func(ctx context.Context, c *Conn, params json.RawMessage) (any, error)
 
-// Answer is the result of a Handler that has to know when it is out: Sent is called
-// once the answer was written, or cannot be. A Handler may return it with an error.
+// Answer is the result of a Handler that must know when its answer was written. Sent is called
+// after the write, or after its failure. A Handler may return an Answer together with an error.
 type Answer struct {
 	Result any
 	Sent   func()
@@ -41,8 +41,8 @@
 // Methods maps method names to their handlers.
 type Methods map[string]Handler
 
-// Guarded returns the methods with handlers whose faults end no process: the other side gets
-// an error, and note hears of it.
+// Guarded returns the methods with handlers that recover from panics. The remote side then gets an
+// error, and note is called with the method and the error.
 func (m Methods) Guarded(note func(method string, err error)) Methods {
 	out := make(Methods, len(m))
 	for method, h := range m {
@@ -65,15 +65,15 @@
 type Conn struct {
 	rpc    *jsonrpc2.Conn
 	remote string
-	// opened is closed once the connection is prepared; nothing is handled before.
-	opened chan struct{}
+	// ready is closed once the connection is set up. No message is handled before.
+	ready  chan struct{}
 	mu     sync.Mutex
 	values map[any]any
 }
 
 const dialTimeout = time.Second
 
-// Dial connects to addr. The methods answer what the other side sends.
+// Dial connects to addr. The methods handle the messages of the remote side.
 func Dial(ctx context.Context, addr string, methods Methods) (*Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	nc, err := d.DialContext(ctx, "tcp", addr)
@@ -85,15 +85,15 @@
 
 func newConn(nc net.Conn, methods Methods) *Conn {
 	c := prepareConn(nc, methods)
-	close(c.opened)
+	close(c.ready)
 	return c
 }
 
-// prepareConn returns a connection on which nothing is handled until opened is closed.
+// prepareConn returns a connection that handles no message until ready is closed.
 func prepareConn(nc net.Conn, methods Methods) *Conn {
-	c := &Conn{remote: nc.RemoteAddr().String(), opened: make(chan struct{}), values: map[any]any{}}
+	c := &Conn{remote: nc.RemoteAddr().String(), ready: make(chan struct{}), values: map[any]any{}}
 	stream := jsonrpc2.NewBufferedStream(nc, jsonrpc2.VarintObjectCodec{})
-	c.rpc = jsonrpc2.NewConn(context.Background(), stream, &dispatcher{conn: c, methods: methods}, jsonrpc2.SetLogger(silent{}))
+	c.rpc = jsonrpc2.NewConn(context.Background(), stream, &dispatcher{conn: c, methods: methods}, jsonrpc2.SetLogger(discardLogger{}))
 	return c
 }
 
@@ -127,17 +127,18 @@
 // Close ends the connection.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
-// Remote returns the other side's network address.
+// Remote returns the network address of the remote side.
 func (c *Conn) Remote() string { return c.remote }
 
-// Attach keeps a value with the connection, under a key of the caller's own type.
+// Attach stores a value with the connection. The key should be of a type private to the caller, to
+// avoid collisions.
 func (c *Conn) Attach(key, value any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.values[key] = value
 }
 
-// Attached returns the value kept under key, or nil.
+// Attached returns the value stored under key, or nil.
 func (c *Conn) Attached(key any) any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,9 +150,9 @@
 	methods Methods
 }
 
-// Handle answers calls concurrently and notifications in order.
+// Handle runs calls concurrently and notifications in order.
 func (d *dispatcher) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
-	<-d.conn.opened
+	<-d.conn.ready
 	h, ok := d.methods[req.Method]
 	if !ok {
 		if !req.Notif {
@@ -183,7 +184,8 @@
 	_ = rpc.Reply(ctx, req.ID, result)
 }
 
-type silent struct{}
+type discardLogger struct{}
 
-// Printf drops the library's own messages: lost connections are events of ours.
-func (silent) Printf(string, ...any) {}
+// Printf discards the log messages of the library. Callers see lost connections as errors or
+// through Done.
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/peer/conn_test.go
+++ b/internal/peer/conn_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func start(t *testing.T, m Methods) *Server {
+func startServer(t *testing.T, m Methods) *Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -20,9 +20,9 @@
 	return s
 }
 
-func TestNotificationsArriveInOrderAndErrorsAreToldApart(t *testing.T) {
+func TestNotificationOrderAndErrorKinds(t *testing.T) {
 	var got []int
-	s := start(t, Methods{
+	s := startServer(t, Methods{
 		"put": func(_ context.Context, _ *Conn, p json.RawMessage) (any, error) {
 			var n int
 			err := json.Unmarshal(p, &n)
@@ -49,7 +49,7 @@
 	}
 	for i, v := range got {
 		if v != i {
-			t.Fatalf("place %d holds %d", i, v)
+			t.Fatalf("notification %d has value %d", i, v)
 		}
 	}
 	if err := c.Call(t.Context(), "fail", nil, nil); !errors.Is(err, ErrRefused) {
--- a/internal/peer/fault_test.go
+++ b/internal/peer/fault_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// A message that a process fails over ended it with all that it served, and was sent to the
-// next one then.
-func TestMessageThatEndsNoReader(t *testing.T) {
+// Without recovery, a message that makes its handler panic ends the process with everything it
+// serves, and the sender then delivers the message to the next process.
+func TestPanicInHandlerIsRecovered(t *testing.T) {
 	noted := make(chan string, 4)
-	oops := func(context.Context, *Conn, json.RawMessage) (any, error) { panic("oops") }
-	s := start(t, Methods{
-		"oops": oops,
+	panicking := func(context.Context, *Conn, json.RawMessage) (any, error) { panic("oops") }
+	s := startServer(t, Methods{
+		"oops": panicking,
 		"ok":   func(context.Context, *Conn, json.RawMessage) (any, error) { return 1, nil },
 	}.Guarded(func(method string, _ error) { noted <- method }))
 	c, err := Dial(t.Context(), s.Addr(), nil)
@@ -28,11 +28,11 @@
 		t.Error(err)
 	}
 	if err := c.Call(t.Context(), "ok", nil, nil); err != nil {
-		t.Errorf("the process does not go on: %v", err)
+		t.Errorf("call after the panic: %v", err)
 	}
 	for range 2 {
 		if method := <-noted; method != "oops" {
-			t.Errorf("noted for %q", method)
+			t.Errorf("note was called for method %q", method)
 		}
 	}
 }
--- a/internal/peer/open_test.go
+++ b/internal/peer/open_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 )
 
-// pipes is a listener that accepts connections within a test.
+// pipes is an in-memory listener.
 type pipes chan net.Conn
 
 // Accept returns the next connection.
@@ -22,15 +22,15 @@
 // Close ends the listener.
 func (p pipes) Close() error { close(p); return nil }
 
-// Addr returns an address that means nothing.
+// Addr returns a dummy address.
 func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
 type openedKey struct{}
 
-// A call arrives on a new connection while the server still prepares it. The call was
-// handled at once: a sidecar that was slow to get its processor found no place for the
-// streams of the connection, and its process ended with all that it had in flight.
-func TestCallWaitsUntilTheConnectionIsPrepared(t *testing.T) {
+// A call may arrive on a new connection before onOpen has returned. If it is handled at once, the
+// handler misses the values that onOpen attaches: a sidecar that was slow to be scheduled then
+// crashed with all its requests in flight.
+func TestCallWaitsForOnOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prepare := make(chan struct{})
 		asked := func(_ context.Context, c *Conn, _ json.RawMessage) (any, error) {
@@ -51,36 +51,36 @@
 		synctest.Wait()
 		close(prepare)
 		if err := <-answered; err != nil || !prepared {
-			t.Errorf("the call found its connection prepared: %v, %v", prepared, err)
+			t.Errorf("the call was handled after onOpen: %v, %v; want true", prepared, err)
 		}
 		c.Close()
 		s.Close()
 	})
 }
 
-// slowAddress is a connection that tells its address late.
+// slowAddress is a connection whose RemoteAddr blocks until release is closed.
 type slowAddress struct {
 	net.Conn
-	asked, tell chan struct{}
+	asked, release chan struct{}
 }
 
-// RemoteAddr returns the address once it may.
+// RemoteAddr signals the call and returns the address after release.
 func (c slowAddress) RemoteAddr() net.Addr {
 	close(c.asked)
-	<-c.tell
+	<-c.release
 	return c.Conn.RemoteAddr()
 }
 
-// A server is closed while it accepts a connection, which is not among its connections
-// yet. It was left open, and the close waited for its end for ever: a process that stops
-// went on holding calls that nobody answered, up to the limit of its stop.
-func TestConnectionAcceptedAsTheServerClosesIsClosed(t *testing.T) {
+// A server is closed while it accepts a connection that it does not track yet. If that connection
+// stays open, Close waits for its end forever: a process that shuts down then holds unanswered
+// calls until its stop timeout.
+func TestCloseDuringAccept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := make(pipes)
 		s := NewServer(l, nil, nil)
 		s.Start()
 		ours, theirs := net.Pipe()
-		slow := slowAddress{Conn: theirs, asked: make(chan struct{}), tell: make(chan struct{})}
+		slow := slowAddress{Conn: theirs, asked: make(chan struct{}), release: make(chan struct{})}
 		l <- slow
 		<-slow.asked
 		closed := make(chan struct{})
@@ -89,12 +89,12 @@
 			close(closed)
 		}()
 		synctest.Wait()
-		close(slow.tell)
+		close(slow.release)
 		synctest.Wait()
 		select {
 		case <-closed:
 		default:
-			t.Error("the server waits for a connection that it left open")
+			t.Error("Close waits for a connection that it did not close")
 		}
 		_ = ours.Close()
 		<-closed
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,12 +14,13 @@
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
-	// accepting ends once no more connections come, done once all have ended.
+	// accepting is done once the accept loop has ended, done once all accepted connections have
+	// ended.
 	accepting, done sync.WaitGroup
 }
 
-// NewServer returns a Server on l. onOpen may be nil; it is called for each
-// new connection before anything that arrives on it is handled.
+// NewServer returns a Server on l. onOpen may be nil. It is called for each new connection before
+// any message on it is handled.
 func NewServer(l net.Listener, methods Methods, onOpen func(*Conn)) *Server {
 	return &Server{listener: l, methods: methods, onOpen: onOpen, conns: map[*Conn]struct{}{}}
 }
@@ -28,9 +29,9 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Start accepts connections until Close.
-func (s *Server) Start() { s.accepting.Go(s.accept) }
+func (s *Server) Start() { s.accepting.Go(s.acceptLoop) }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	for {
 		nc, err := s.listener.Accept()
 		if err != nil {
@@ -43,20 +44,19 @@
 		if s.onOpen != nil {
 			s.onOpen(c)
 		}
-		close(c.opened)
-		s.done.Go(func() { s.forget(c) })
+		close(c.ready)
+		s.done.Go(func() { s.removeWhenDone(c) })
 	}
 }
 
-func (s *Server) forget(c *Conn) {
+func (s *Server) removeWhenDone(c *Conn) {
 	<-c.Done()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// Broadcast notifies every connected peer; a peer that cannot be written to is
-// closed.
+// Broadcast notifies every connected peer. It closes connections on which the write fails.
 func (s *Server) Broadcast(ctx context.Context, method string, params any) {
 	for _, c := range s.Conns() {
 		if err := c.Notify(ctx, method, params); err != nil {
@@ -79,7 +79,8 @@
 // Close ends the listener and all connections.
 func (s *Server) Close() {
 	_ = s.listener.Close()
-	// A connection that is being accepted is not among the connections yet.
+	// A connection that is just being accepted is not in s.conns yet, so wait for the accept loop
+	// before closing the connections.
 	s.accepting.Wait()
 	for _, c := range s.Conns() {
 		c.Close()
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -228,7 +228,7 @@
 
 # Faults of this program over what was read.
 mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestTableThatEndsNoReader
-mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
+mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestPanicInHandlerIsRecovered
 mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.read\(b, addr\) \}\); err/if err := n.read(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestMessageThatEndsNoReader
 mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
 mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestGenerationThatEndsNoSidecar
