--- a/internal/relay/epochs_test.go
+++ b/internal/relay/epochs_test.go
@@ -19,20 +19,20 @@
 	"github.com/sparshore/sparshore/internal/standin"
 )
 
-// member is an entry that follows a stand-in of the store, itself or by the others.
+// member is an entry that follows a fake store, directly or through its peers.
 type member struct {
 	name   string
 	log    *Log
 	source *Store
 	addr   string
-	// cut keeps it from the store.
-	cut atomic.Bool
+	// storeCutOff makes calls of this entry to the store fail.
+	storeCutOff atomic.Bool
 
 	mu    sync.Mutex
 	known map[string]string
 }
 
-func (m *member) take(s platform.Snapshot, full bool) {
+func (m *member) apply(s platform.Snapshot, full bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if full {
@@ -47,8 +47,9 @@
 	}
 }
 
-// differs tells a row that is not known as the store has it, empty if there is none.
-func (m *member) differs(s platform.Snapshot) string {
+// difference describes a row that differs from the store's copy. It returns an empty string if
+// there is none.
+func (m *member) difference(s platform.Snapshot) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range s.Records {
@@ -57,16 +58,16 @@
 		}
 	}
 	if len(m.known) != len(s.Records) {
-		return fmt.Sprintf("%s knows %d rows, want %d", m.name, len(m.known), len(s.Records))
+		return fmt.Sprintf("%s has %d rows, want %d", m.name, len(m.known), len(s.Records))
 	}
 	return ""
 }
 
-// followers are entries that hear each other and follow one table of a stand-in of the store.
+// followers is a set of entries that know each other and follow one table of a fake store.
 type followers struct {
-	rows *standin.Rows
-	away atomic.Bool
-	list []*member
+	rows      *standin.Rows
+	storeDown atomic.Bool
+	list      []*member
 }
 
 func newFollowers(t *testing.T, n int) *followers {
@@ -85,24 +86,24 @@
 		m.source = New(Settings{
 			Name: m.name, Zone: "z", Delegates: 2, Wait: 60 * time.Millisecond, Slack: 200 * time.Millisecond, Stale: 400 * time.Millisecond,
 			AvoidFor: 100 * time.Millisecond, AvoidStaleFor: 50 * time.Millisecond, CallEach: time.Millisecond, RetryAfter: 200 * time.Millisecond,
-		}, belief.Anchored(f.reachedBy(m), time.Now), m.log, func() []Peer { return f.others(m) }, listed(), events.Nop(), time.Now)
+		}, belief.Anchored(f.storeFor(m), time.Now), m.log, func() []Peer { return f.others(m) }, closedChannel(), events.Nop(), time.Now)
 		f.list = append(f.list, m)
 	}
 	for _, m := range f.list {
 		follower := belief.New(belief.Settings{
 			Table: table, Wait: 60 * time.Millisecond, Slack: 200 * time.Millisecond, ListWithin: 500 * time.Millisecond,
 			PauseLeast: 5 * time.Millisecond, PauseMost: 20 * time.Millisecond, SettleFor: 200 * time.Millisecond, Gather: time.Millisecond,
-		}, m.source.Platform(), m.take, func(time.Time) {}, func() {}, events.Nop(), time.Now)
+		}, m.source.Platform(), m.apply, func(time.Time) {}, func() {}, events.Nop(), time.Now)
 		go follower.Run(t.Context())
 	}
 	return f
 }
 
-// reachedBy is the store as one entry reaches it.
-func (f *followers) reachedBy(m *member) *platform.Store {
+// storeFor returns the store as seen by one entry.
+func (f *followers) storeFor(m *member) *platform.Store {
 	direct := f.rows.Platform()
 	reaches := func() error {
-		if f.away.Load() || m.cut.Load() {
+		if f.storeDown.Load() || m.storeCutOff.Load() {
 			return errDown
 		}
 		return nil
@@ -137,8 +138,9 @@
 	return out
 }
 
-// equalWithin waits until all know what the store has; it returns what differs if they do not.
-func (f *followers) equalWithin(t *testing.T, d time.Duration) string {
+// convergesWithin waits until all entries have the rows of the store. It returns a difference that
+// is left when the time is over, or an empty string.
+func (f *followers) convergesWithin(t *testing.T, d time.Duration) string {
 	t.Helper()
 	for end := time.Now().Add(d); ; time.Sleep(5 * time.Millisecond) {
 		s, err := f.rows.Platform().List(t.Context(), table)
@@ -147,7 +149,7 @@
 		}
 		first := ""
 		for _, m := range f.list {
-			if diff := m.differs(s); diff != "" {
+			if diff := m.difference(s); diff != "" {
 				first = diff
 			}
 		}
@@ -157,13 +159,14 @@
 	}
 }
 
-// A store was restored from a copy, and entries that ask others, or are asked, went by the versions of
-// before: some never learnt rows that were written at versions given out again.
-func TestEntriesKnowAllAfterTheStoreWasRestored(t *testing.T) {
+// After the store is restored from a backup copy, it issues version numbers again. Entries that
+// compare them with versions from before the restore, their own or those of a peer, never learn
+// some of the rows.
+func TestEntriesConvergeAfterStoreRestore(t *testing.T) {
 	var seeds sync.WaitGroup
 	for seed := range uint64(12) {
 		seeds.Go(func() {
-			if diff := newFollowers(t, 5).comeBack(t, rand.New(rand.NewPCG(seed, 7))); diff != "" {
+			if diff := newFollowers(t, 5).restoreRepeatedly(t, rand.New(rand.NewPCG(seed, 7))); diff != "" {
 				t.Errorf("seed %d: %s", seed, diff)
 			}
 		})
@@ -171,9 +174,9 @@
 	seeds.Wait()
 }
 
-// comeBack lets the store come back some times, with rows written before and after and one entry
-// that may be cut from it; it returns what an entry does not know in time.
-func (f *followers) comeBack(t *testing.T, rng *rand.Rand) string {
+// restoreRepeatedly restores the store several times, writes rows before and after each time, and
+// may cut one entry off meanwhile. It returns a difference that an entry does not resolve in time.
+func (f *followers) restoreRepeatedly(t *testing.T, rng *rand.Rand) string {
 	pause := func(most int) { time.Sleep(time.Duration(rng.IntN(most)) * time.Millisecond) }
 	write := func(n int, value string) {
 		for range n {
@@ -182,7 +185,7 @@
 		}
 	}
 	write(5, "kept ")
-	if diff := f.equalWithin(t, 2*time.Second); diff != "" {
+	if diff := f.convergesWithin(t, 2*time.Second); diff != "" {
 		return "at the start: " + diff
 	}
 	for n := range 3 {
@@ -190,95 +193,95 @@
 		write(2+rng.IntN(5), "lost ")
 		pause(100)
 		cut := f.list[rng.IntN(len(f.list))]
-		cut.cut.Store(rng.IntN(2) == 0)
-		f.away.Store(true)
+		cut.storeCutOff.Store(rng.IntN(2) == 0)
+		f.storeDown.Store(true)
 		pause(150)
 		f.rows.ComeBack(held)
-		f.away.Store(false)
+		f.storeDown.Store(false)
 		pause(60)
 		write(1+rng.IntN(8), "again ")
 		pause(100)
-		cut.cut.Store(false)
-		if diff := f.equalWithin(t, 2*time.Second); diff != "" {
-			return fmt.Sprintf("after return %d: %s", n+1, diff)
+		cut.storeCutOff.Store(false)
+		if diff := f.convergesWithin(t, 2*time.Second); diff != "" {
+			return fmt.Sprintf("after restore %d: %s", n+1, diff)
 		}
 	}
 	return ""
 }
 
-// Entries of an earlier release state no epoch. What they answer and ask is taken as before until the
-// store was restored from a copy; from then on it tells nothing.
-func TestEpochsBesideAnEarlierRelease(t *testing.T) {
+// Entries of an earlier release send no epoch. Their calls are answered and their answers are used
+// until the store is restored from a copy, and rejected after that.
+func TestEpochsWithEarlierRelease(t *testing.T) {
 	snap := func(epoch, version int64) platform.Snapshot {
 		return platform.Snapshot{Epoch: epoch, Version: version, Made: time.Now(), Records: []platform.Record{{Name: "a", Version: version}}}
 	}
 	l := NewLog(time.Now)
-	l.note(table, snap(1, 38), true)
-	l.note(table, snap(1, 39), false)
-	if a, _, err := l.answer(table, 38, 0); err != nil || len(a.records) == 0 || a.epoch != 1 {
-		t.Errorf("an earlier release is answered %v, %v before a return, want the changes", a, err)
+	l.apply(table, snap(1, 38), true)
+	l.apply(table, snap(1, 39), false)
+	if a, _, err := l.changesReply(table, 38, 0); err != nil || len(a.records) == 0 || a.epoch != 1 {
+		t.Errorf("reply to an earlier release before a restore is %v, %v, want the changes", a, err)
 	}
-	if !l.tells(table, 0) {
-		t.Error("what an earlier release answers tells nothing before a return")
+	if !l.acceptsEpoch(table, 0) {
+		t.Error("an answer of an earlier release is rejected before a restore")
 	}
-	l.note(table, snap(2, 36), false)
-	if _, _, err := l.wholeAnswer(table); !errors.Is(err, errCannotTell) {
-		t.Errorf("the whole table is told before it is read in the later epoch: %v", err)
+	l.apply(table, snap(2, 36), false)
+	if _, _, err := l.tableReply(table); !errors.Is(err, errNotAnswerable) {
+		t.Errorf("the whole table is returned before it was read in the new epoch: %v", err)
 	}
-	l.note(table, snap(2, 35), true)
-	l.note(table, snap(2, 36), false)
-	if _, _, err := l.answer(table, 39, 0); !errors.Is(err, errCannotTell) {
-		t.Errorf("an earlier release is answered after a return: %v", err)
+	l.apply(table, snap(2, 35), true)
+	l.apply(table, snap(2, 36), false)
+	if _, _, err := l.changesReply(table, 39, 0); !errors.Is(err, errNotAnswerable) {
+		t.Errorf("a call of an earlier release is answered after a restore: %v", err)
 	}
-	if l.tells(table, 0) || l.tells(table, 1) || !l.tells(table, 2) || !l.tells(table, 3) {
-		t.Error("answers of an earlier release or epoch tell something after a return, or later ones nothing")
+	if l.acceptsEpoch(table, 0) || l.acceptsEpoch(table, 1) || !l.acceptsEpoch(table, 2) || !l.acceptsEpoch(table, 3) {
+		t.Error("after a restore, an answer without an epoch or of an earlier one is accepted, or a later one rejected")
 	}
-	if a, _, err := l.answer(table, 39, 1); err != nil || !a.over || a.epoch != 2 || len(a.records) != 0 {
-		t.Errorf("who asks in the earlier epoch is answered %+v, %v, want the later epoch at once", a, err)
+	if a, _, err := l.changesReply(table, 39, 1); err != nil || !a.immediate || a.epoch != 2 || len(a.records) != 0 {
+		t.Errorf("reply to a call in the earlier epoch is %+v, %v, want the new epoch at once", a, err)
 	}
-	if a, _, err := l.answer(table, 35, 2); err != nil || len(a.records) == 0 {
-		t.Errorf("who asks in the same epoch is answered %+v, %v, want the changes", a, err)
+	if a, _, err := l.changesReply(table, 35, 2); err != nil || len(a.records) == 0 {
+		t.Errorf("reply to a call in the same epoch is %+v, %v, want the changes", a, err)
 	}
-	l.note(table, snap(1, 50), true)
-	if a, _, err := l.answer(table, 36, 2); err != nil || a.version != 36 {
+	l.apply(table, snap(1, 50), true)
+	if a, _, err := l.changesReply(table, 36, 2); err != nil || a.version != 36 {
 		t.Errorf("version %d, %v after an answer of the earlier epoch, want 36", a.version, err)
 	}
 }
 
-// A question that an entry holds ends when the store has come back, whoever asks.
-func TestHeldQuestionEndsWithTheEpoch(t *testing.T) {
+// A long poll ends when the store was restored, so that the peer reads the whole table at once.
+func TestNewEpochEndsLongPoll(t *testing.T) {
 	l := NewLog(time.Now)
-	l.note(table, platform.Snapshot{Epoch: 1, Version: 39, Made: time.Now()}, true)
+	l.apply(table, platform.Snapshot{Epoch: 1, Version: 39, Made: time.Now()}, true)
 	params, err := json.Marshal(changesParams{Table: table, After: 39, Epoch: 1, WaitMS: 10_000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.AfterFunc(30*time.Millisecond, func() {
-		l.note(table, platform.Snapshot{Epoch: 2, Version: 36, Made: time.Now()}, true)
+		l.apply(table, platform.Snapshot{Epoch: 2, Version: 36, Made: time.Now()}, true)
 	})
 	begun := time.Now()
 	got, err := l.handleChanges(t.Context(), nil, params)
 	if w, ok := got.(wireSnapshot); err != nil || !ok || w.Epoch != 2 || time.Since(begun) > 5*time.Second {
-		t.Errorf("%+v, %v after %s, want the later epoch at once", got, err, time.Since(begun))
+		t.Errorf("%+v, %v after %s, want the new epoch at once", got, err, time.Since(begun))
 	}
 }
 
-// What an entry keeps in the place of an older row reaches those who list the table from it, until
-// the store has a later one.
-func TestKeptRowIsToldOn(t *testing.T) {
+// A row that was kept in place of an older one is relayed to peers that list the table, until the
+// store has a later one.
+func TestKeptRowIsRelayed(t *testing.T) {
 	value := func(l *Log) string {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return string(l.live(l.table(table)).Records[0].Value)
+		return string(l.liveSnapshot(l.table(table)).Records[0].Value)
 	}
 	l := NewLog(time.Now)
-	l.note(table, platform.Snapshot{Epoch: 2, Version: 36, Records: []platform.Record{{Name: "config", Version: 5, Value: []byte("52")}}}, true)
+	l.apply(table, platform.Snapshot{Epoch: 2, Version: 36, Records: []platform.Record{{Name: "config", Version: 5, Value: []byte("52")}}}, true)
 	l.Keep(table, platform.Record{Name: "config", Version: 39, Value: []byte("59")})
 	if got := value(l); got != "59" {
-		t.Errorf("told is %s, want the kept row", got)
+		t.Errorf("relayed row is %s, want the kept one", got)
 	}
-	l.note(table, platform.Snapshot{Epoch: 2, Version: 38, Records: []platform.Record{{Name: "config", Version: 38, Value: []byte("60")}}}, false)
+	l.apply(table, platform.Snapshot{Epoch: 2, Version: 38, Records: []platform.Record{{Name: "config", Version: 38, Value: []byte("60")}}}, false)
 	if got := value(l); got != "60" {
-		t.Errorf("told is %s, want the store's later row", got)
+		t.Errorf("relayed row is %s, want the store's later one", got)
 	}
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -1,7 +1,11 @@
-// Package relay lets entries pass on to each other what the platform's store
-// told them. A few entries follow the store; the others ask those few, so that
-// calls to the store do not grow with the number of entries. An entry that the
-// store turns away gets the changes, and how fresh they are, from one it serves.
+// Package relay shares the contents of the platform's store between entries, so that the number of
+// calls to the store does not grow with the number of entries. A few entries, the delegates, poll
+// the store and the others long-poll a delegate; an entry that cannot reach the store reads its
+// tables from a peer that can.
+//
+// Each process has a Store, through which its table followers read, and a Log, from which it
+// answers its peers. Every relayed answer carries its age, and answers that are too old or come
+// from an earlier epoch of the store are rejected.
 package relay
 
 import (
@@ -12,43 +16,44 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// keepGone is how long a removed row is remembered: the store keeps its own
-// history about as long.
-const keepGone = 30 * time.Second
+// tombstoneTTL is how long the tombstone of a removed row is kept. The store keeps its own history
+// for about the same time.
+const tombstoneTTL = 30 * time.Second
 
 // tableLog is the newest known state of one table.
 type tableLog struct {
-	rows map[string]entry
-	// floor is the version from which the log knows all changes.
+	rows map[string]trackedRow
+	// floor is the lowest version from which the log holds all later changes, -1 if the table was
+	// not read.
 	floor   int64
 	version int64
-	// epoch is that of the store in which the rows were read, and returned is set once the
-	// store was restored from a copy. See platform.Snapshot.
+	// epoch is the store's epoch in which the rows were read. restored is set once the store was
+	// restored from a backup copy, which begins a new epoch. See platform.Snapshot.
 	epoch    int64
-	returned bool
+	restored bool
 	made     time.Time
 	failing  bool
-	signs    signs
-	// told is the latest answer, for those that know the table up to toldAfter. One with
-	// records holds until the rows change or a call fails.
-	told      answer
-	toldAfter int64
-	// whole is the whole table, encoded; it holds until the rows change.
-	whole answer
+	signals  tableSignals
+	// cachedChanges is the latest encoded reply with the changes after version cachedAfter. A
+	// reply with records is valid until the rows change or a call to the store fails.
+	cachedChanges reply
+	cachedAfter   int64
+	// cachedTable is the whole table, encoded. It is valid until the rows change.
+	cachedTable reply
 }
 
-// signs are channels that are closed at the next change of a table, and when it is next known to
-// be the newest.
-type signs struct {
+// tableSignals holds two channels: changed is closed at the next change of a table, confirmed when
+// the table is next known to be up to date.
+type tableSignals struct {
 	changed, confirmed chan struct{}
 }
 
-type entry struct {
-	record platform.Record
-	gone   time.Time
+type trackedRow struct {
+	record    platform.Record
+	removedAt time.Time
 }
 
-// Log keeps the newest known state of the followed tables.
+// Log holds the newest known state of the followed tables and answers peers from it.
 type Log struct {
 	now func() time.Time
 
@@ -62,45 +67,47 @@
 func (l *Log) table(name string) *tableLog {
 	t, ok := l.tables[name]
 	if !ok {
-		t = &tableLog{rows: map[string]entry{}, floor: -1, signs: signs{make(chan struct{}), make(chan struct{})}}
+		t = &tableLog{rows: map[string]trackedRow{}, floor: -1, signals: tableSignals{make(chan struct{}), make(chan struct{})}}
 		l.tables[name] = t
 	}
 	return t
 }
 
-// note takes over an answer; full marks one that holds the whole table.
-func (l *Log) note(table string, s platform.Snapshot, full bool) {
+// apply merges an answer of the store or of a peer into the log. full is set if the answer holds
+// the whole table.
+func (l *Log) apply(table string, s platform.Snapshot, full bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.table(table)
-	if !t.enter(s.Epoch, full) {
+	if !t.advanceEpoch(s.Epoch, full) {
 		return
 	}
 	t.failing = false
 	if s.Made.After(t.made) {
 		t.made = s.Made
-		t.signs.confirmed = renew(t.signs.confirmed)
+		t.signals.confirmed = closeAndReplace(t.signals.confirmed)
 	}
 	if full {
-		l.replace(t, s)
+		l.tombstoneMissing(t, s)
 	}
 	for _, r := range s.Records {
 		if r.Version == 0 {
 			r.Version = s.Version
 		}
-		t.rows[r.Name] = l.entryOf(r)
+		t.rows[r.Name] = l.track(r)
 	}
 	t.version = max(t.version, s.Version)
 	if full || len(s.Records) > 0 {
-		t.signs.changed = renew(t.signs.changed)
-		t.told, t.whole = answer{}, answer{}
-		l.forget(t)
+		t.signals.changed = closeAndReplace(t.signals.changed)
+		t.cachedChanges, t.cachedTable = reply{}, reply{}
+		l.pruneTombstones(t)
 	}
 }
 
-// enter begins a later epoch of the store, of which only a whole table tells. It returns false for an
-// answer that tells nothing: of an earlier epoch, or of changes in one whose table is not known.
-func (t *tableLog) enter(epoch int64, full bool) bool {
+// advanceEpoch moves the table to the epoch of an answer if that is a later one, and reports
+// whether the answer can be applied. It returns false for an answer of an earlier epoch, and for
+// changes in a new epoch, of which the whole table must be read first.
+func (t *tableLog) advanceEpoch(epoch int64, full bool) bool {
 	switch {
 	case epoch == 0 || epoch == t.epoch:
 		return true
@@ -108,68 +115,69 @@
 		return false
 	}
 	known := t.epoch != 0 || t.floor >= 0
-	t.returned = t.returned || t.epoch != 0
+	t.restored = t.restored || t.epoch != 0
 	t.epoch = epoch
 	if known {
-		t.rows, t.floor, t.version = map[string]entry{}, -1, 0
-		t.told, t.whole = answer{}, answer{}
-		// Who waits has to read the whole table.
-		t.signs.changed = renew(t.signs.changed)
+		t.rows, t.floor, t.version = map[string]trackedRow{}, -1, 0
+		t.cachedChanges, t.cachedTable = reply{}, reply{}
+		// Waiting peers must read the whole table again.
+		t.signals.changed = closeAndReplace(t.signals.changed)
 	}
 	return full
 }
 
-// comparable reports whether versions that an asker knows in an epoch, 0 if it does not say, can be
-// compared with those here.
-func (t *tableLog) comparable(epoch int64) bool {
+// versionsComparable reports whether versions that a peer counts in the given epoch can be
+// compared with the versions here. Epoch 0 means that the peer did not state one.
+func (t *tableLog) versionsComparable(epoch int64) bool {
 	return epoch == 0 || t.epoch == 0 || epoch == t.epoch
 }
 
-// tells reports whether an answer made in an epoch, 0 if it is not stated, tells anything: one of an
-// earlier epoch does not, nor does one that may be.
-func (l *Log) tells(table string, epoch int64) bool {
+// acceptsEpoch reports whether an answer made in the given epoch can be used. An answer of an
+// earlier epoch cannot, nor can an answer without an epoch (0) once the store was restored, since
+// it may be of an earlier epoch.
+func (l *Log) acceptsEpoch(table string, epoch int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.table(table)
 	if epoch == 0 {
-		return !t.returned
+		return !t.restored
 	}
 	return epoch >= t.epoch
 }
 
-// epoch returns the epoch of the store in which a table was last read.
+// epoch returns the store's epoch in which a table was last read.
 func (l *Log) epoch(table string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table(table).epoch
 }
 
-// Keep puts a row in the place of an older one that the store came back with, for those who ask
-// here, until the store has a later one.
+// Keep replaces a row that the store restored in an older version. Peers that ask this entry get
+// the kept row until the store has a later one.
 func (l *Log) Keep(table string, row platform.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.table(table)
 	row.Version = t.version
-	t.rows[row.Name] = l.entryOf(row)
-	t.told, t.whole = answer{}, answer{}
+	t.rows[row.Name] = l.track(row)
+	t.cachedChanges, t.cachedTable = reply{}, reply{}
 }
 
-// renew closes a channel and returns the next one.
-func renew(c chan struct{}) chan struct{} {
+// closeAndReplace closes a channel and returns a new one in its place.
+func closeAndReplace(c chan struct{}) chan struct{} {
 	close(c)
 	return make(chan struct{})
 }
 
-// replace marks the rows that a whole table lacks as removed.
-func (l *Log) replace(t *tableLog, s platform.Snapshot) {
+// tombstoneMissing marks the rows that are missing from a snapshot of the whole table as removed.
+func (l *Log) tombstoneMissing(t *tableLog, s platform.Snapshot) {
 	listed := make(map[string]bool, len(s.Records))
 	for _, r := range s.Records {
 		listed[r.Name] = true
 	}
 	for name, e := range t.rows {
 		if !listed[name] && !e.record.Gone {
-			t.rows[name] = l.entryOf(platform.Record{Name: name, Version: s.Version, Gone: true})
+			t.rows[name] = l.track(platform.Record{Name: name, Version: s.Version, Gone: true})
 		}
 	}
 	if t.floor < 0 {
@@ -177,92 +185,93 @@
 	}
 }
 
-func (l *Log) entryOf(r platform.Record) entry {
-	e := entry{record: r}
+func (l *Log) track(r platform.Record) trackedRow {
+	e := trackedRow{record: r}
 	if r.Gone {
-		e.gone = l.now()
+		e.removedAt = l.now()
 	}
 	return e
 }
 
-// forget drops rows that were removed long ago; who is that far behind has to
-// read the whole table.
-func (l *Log) forget(t *tableLog) {
+// pruneTombstones drops tombstones that are older than tombstoneTTL. A peer that knows only older
+// versions has to read the whole table.
+func (l *Log) pruneTombstones(t *tableLog) {
 	for name, e := range t.rows {
-		if e.record.Gone && l.now().Sub(e.gone) > keepGone {
+		if e.record.Gone && l.now().Sub(e.removedAt) > tombstoneTTL {
 			t.floor = max(t.floor, e.record.Version)
 			delete(t.rows, name)
 		}
 	}
 }
 
-// made is when the newest answer for the table was made; the zero time if there is
-// none.
+// made returns the time at which the newest answer for the table was made, or the zero time if
+// there is none.
 func (l *Log) made(table string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table(table).made
 }
 
-// failed notes that the newest call for the table failed.
-func (l *Log) failed(table string) {
+// markFailed records that the latest call for the table failed.
+func (l *Log) markFailed(table string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.table(table)
-	t.failing, t.told = true, answer{}
+	t.failing, t.cachedChanges = true, reply{}
 }
 
-// answer is since, encoded, with the signs of what comes next. Hundreds of entries ask for the same
-// change at once, so it is encoded once for all of them.
-func (l *Log) answer(table string, after, epoch int64) (answer, signs, error) {
+// changesReply returns the encoded changes after a version, with the signals for the next change.
+// Hundreds of peers ask for the same change at once, so the changes are encoded once for all of
+// them.
+func (l *Log) changesReply(table string, after, epoch int64) (reply, tableSignals, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.table(table)
 	switch {
-	case !t.comparable(epoch):
-		// The epoch tells the asker to read the whole table.
-		return answer{version: t.version, epoch: t.epoch, made: t.made, over: true}, t.signs, nil
-	case epoch == 0 && t.returned:
-		return answer{}, signs{}, errCannotTell
+	case !t.versionsComparable(epoch):
+		// On seeing the new epoch, the peer reads the whole table.
+		return reply{version: t.version, epoch: t.epoch, made: t.made, immediate: true}, t.signals, nil
+	case epoch == 0 && t.restored:
+		return reply{}, tableSignals{}, errNotAnswerable
 	}
-	if t.told.records == nil || t.toldAfter != after {
+	if t.cachedChanges.records == nil || t.cachedAfter != after {
 		s, ok := l.since(table, after)
 		if !ok {
-			return answer{}, signs{}, errCannotTell
+			return reply{}, tableSignals{}, errNotAnswerable
 		}
 		var err error
-		if t.told, err = answerOf(s); err != nil {
-			return answer{}, signs{}, err
+		if t.cachedChanges, err = newReply(s); err != nil {
+			return reply{}, tableSignals{}, err
 		}
-		t.toldAfter = after
+		t.cachedAfter = after
 	}
-	a := t.told
+	a := t.cachedChanges
 	a.version, a.epoch, a.made = t.version, t.epoch, t.made
-	return a, t.signs, nil
+	return a, t.signals, nil
 }
 
-// wholeAnswer is the whole table, encoded once for all who ask, with the signs of what comes next;
-// the error is errCannotTell while it is not known.
-func (l *Log) wholeAnswer(table string) (answer, signs, error) {
+// tableReply returns the whole table, encoded once for all peers, with the signals for the next
+// change. It returns errNotAnswerable while the table is not known.
+func (l *Log) tableReply(table string) (reply, tableSignals, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.table(table)
 	if t.floor < 0 {
-		return answer{}, t.signs, errCannotTell
+		return reply{}, t.signals, errNotAnswerable
 	}
-	if t.whole.records == nil {
+	if t.cachedTable.records == nil {
 		var err error
-		if t.whole, err = answerOf(l.live(t)); err != nil {
-			return answer{}, signs{}, err
+		if t.cachedTable, err = newReply(l.liveSnapshot(t)); err != nil {
+			return reply{}, tableSignals{}, err
 		}
 	}
-	a := t.whole
+	a := t.cachedTable
 	a.version, a.epoch, a.made = t.version, t.epoch, t.made
-	return a, t.signs, nil
+	return a, t.signals, nil
 }
 
-// since returns the rows that changed after a version. ok is false when the log cannot
-// tell. It needs the lock.
+// since returns the rows that changed after a version. ok is false if the log is too short or out
+// of date to list them. The caller must hold l.mu.
 func (l *Log) since(table string, after int64) (s platform.Snapshot, ok bool) {
 	t := l.table(table)
 	if t.floor < 0 || after < t.floor || t.failing {
@@ -274,8 +283,8 @@
 	return l.snapshot(t, after), true
 }
 
-// live returns the whole table but for the rows that are gone. It needs the lock.
-func (l *Log) live(t *tableLog) platform.Snapshot {
+// liveSnapshot returns the whole table without tombstones. The caller must hold l.mu.
+func (l *Log) liveSnapshot(t *tableLog) platform.Snapshot {
 	s := l.snapshot(t, -1)
 	s.Records = slices.DeleteFunc(s.Records, func(r platform.Record) bool { return r.Gone })
 	return s
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -10,7 +10,7 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// wireRecord is a row as it goes between entries.
+// wireRecord is a row as sent between entries.
 type wireRecord struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
@@ -19,15 +19,15 @@
 	Gone    bool
 }
 
-// mostRecords bounds in bytes what an answer's records may unpack to: some hundred
-// thousand routes.
-const mostRecords = 64 << 20
+// maxDecodedBytes bounds the decompressed size of the records of an answer. It is enough for a
+// table of some hundred thousand routes.
+const maxDecodedBytes = 64 << 20
 
-// errTooLarge is wrapped when records would unpack to more than that.
-var errTooLarge = errors.New("records are too large")
+// errTooLarge is wrapped if records would decompress to more than maxDecodedBytes.
+var errTooLarge = errors.New("decompressed records are too large")
 
-// encodeRecords packs rows for other entries. Tables repeat themselves, and each side goes
-// over the message that carries them several times (BenchmarkLargeAnswer).
+// encodeRecords encodes and compresses rows for peers. Tables are repetitive, and both sides
+// process the message several times, so a smaller message is cheaper (see BenchmarkLargeAnswer).
 func encodeRecords(rows []platform.Record) ([]byte, error) {
 	list := make([]wireRecord, len(rows))
 	for i, r := range rows {
@@ -40,22 +40,22 @@
 	return s2.Encode(nil, b), nil
 }
 
-// decodeRecords unpacks rows of another entry.
+// decodeRecords decompresses and decodes rows sent by a peer.
 func decodeRecords(packed []byte) ([]platform.Record, error) {
 	size, err := s2.DecodedLen(packed)
 	if err != nil {
-		return nil, fmt.Errorf("records of another entry: %w", err)
+		return nil, fmt.Errorf("decode records of a peer: %w", err)
 	}
-	if size > mostRecords {
+	if size > maxDecodedBytes {
 		return nil, fmt.Errorf("%w: %d bytes", errTooLarge, size)
 	}
 	b, err := s2.Decode(nil, packed)
 	if err != nil {
-		return nil, fmt.Errorf("records of another entry: %w", err)
+		return nil, fmt.Errorf("decode records of a peer: %w", err)
 	}
 	var list []wireRecord
 	if err := cbor.Unmarshal(b, &list); err != nil {
-		return nil, fmt.Errorf("records of another entry: %w", err)
+		return nil, fmt.Errorf("decode records of a peer: %w", err)
 	}
 	out := make([]platform.Record, len(list))
 	for i, r := range list {
--- a/internal/relay/records_test.go
+++ b/internal/relay/records_test.go
@@ -13,13 +13,13 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-func TestRecordsComeBack(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		rows []platform.Record
 	}{
 		{"one row", []platform.Record{{Name: "a", Version: 7, Value: []byte("text \x00\xff")}}},
-		{"a row that is gone", []platform.Record{{Name: "a", Version: 8, Gone: true}}},
+		{"removed row", []platform.Record{{Name: "a", Version: 8, Gone: true}}},
 		{"a large table", []platform.Record{{Name: "config", Version: 1 << 40, Value: largeTable(2000)}, {Name: "b", Version: 2, Value: []byte{}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestRecordsThatCannotBeRead covers what a faulty entry may send.
-func TestRecordsThatCannotBeRead(t *testing.T) {
+// TestCorruptRecordsAreRejected covers what a faulty peer may send.
+func TestCorruptRecordsAreRejected(t *testing.T) {
 	whole, err := encodeRecords([]platform.Record{{Name: "config", Version: 7, Value: largeTable(10)}})
 	if err != nil {
 		t.Fatal(err)
@@ -46,11 +46,11 @@
 		packed []byte
 		want   error
 	}{
-		{"nothing", nil, s2.ErrCorrupt},
-		{"half of the bytes", whole[:len(whole)/2], s2.ErrCorrupt},
-		{"a size without bound", binary.AppendUvarint(nil, 1<<31), errTooLarge},
-		{"no list of rows", s2.Encode(nil, []byte{0x61, 'x'}), nil},
-		{"rows that end early", s2.Encode(nil, []byte{0x82, 0x84}), nil},
+		{"empty", nil, s2.ErrCorrupt},
+		{"truncated", whole[:len(whole)/2], s2.ErrCorrupt},
+		{"decompressed size over the limit", binary.AppendUvarint(nil, 1<<31), errTooLarge},
+		{"CBOR that is not a list", s2.Encode(nil, []byte{0x61, 'x'}), nil},
+		{"truncated list of rows", s2.Encode(nil, []byte{0x82, 0x84}), nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got, err := decodeRecords(tc.packed)
@@ -61,25 +61,22 @@
 	}
 }
 
-// Two entries tell all others of a change. Each told twenty of them of a table of four
-// thousand routes over a link of 12 Mbit/s, a megabyte each time: their questions ended
-// after 0.75 s, they turned to one another and to the store, and some served by a version
-// that had been replaced more than three seconds before. What settled it were lines like
+// Two delegates relay each change to all other entries. With 20 peers each, a table of 4,000
+// routes and a link of 12 Mbit/s, uncompressed replies of about a megabyte took longer than the
+// timeout of 0.75 s. The peers then asked each other and the store, and some used a table that had
+// been replaced more than 3 s before. Compression to about an eighth of the size prevents this.
 //
-//	relay-failed  error="relay.changes: context deadline exceeded"
-//	relay-failed  error="the other entry's answer is too old: ... knew the table of 2.147s ago"
-//
-// at every entry, and none of them once the same table took an eighth of the bytes.
-func TestLargeTableIsToldInTime(t *testing.T) {
+// The test checks that the replies to 20 peers fit through the link in time.
+func TestLargeTableReachesPeersInTime(t *testing.T) {
 	const (
 		askers         = 20
 		bytesPerSecond = 12e6 / 8
-		// within is the time in which a change has to be in force, less that of the
-		// questions that follow the first one.
+		// within is the time limit for a change to take effect, less the time for the calls that
+		// follow the first one.
 		within = 2 * time.Second
 	)
 	l := NewLog(time.Now)
-	a, err := answerOf(platform.Snapshot{Version: 7, Records: []platform.Record{{Name: "config", Version: 7, Value: largeTable(4000)}}})
+	a, err := newReply(platform.Snapshot{Version: 7, Records: []platform.Record{{Name: "config", Version: 7, Value: largeTable(4000)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,6 +85,6 @@
 		t.Fatal(err)
 	}
 	if took := time.Duration(float64(askers*len(message)) / bytesPerSecond * float64(time.Second)); took > within {
-		t.Errorf("%d entries are told of %d bytes in %s, want %s", askers, len(message), took, within)
+		t.Errorf("sending %d entries a message of %d bytes takes %s, want at most %s", askers, len(message), took, within)
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,7 +20,7 @@
 
 var errDown = errors.New("down")
 
-// fakeStore is the platform's store as one entry reaches it.
+// fakeStore is the platform's store as seen by one entry.
 type fakeStore struct {
 	down  bool
 	calls int
@@ -28,7 +28,7 @@
 	err   error
 }
 
-func (f *fakeStore) seam() *platform.Store {
+func (f *fakeStore) platformStore() *platform.Store {
 	answer := func() (platform.Snapshot, error) {
 		f.calls++
 		switch {
@@ -47,18 +47,20 @@
 	}
 }
 
-// entryFixture is one entry with its store, log and relay server.
+// entryFixture is one entry with its store, log and relay server. relayed is the Store through
+// which its followers read.
 type entryFixture struct {
-	name   string
-	store  *fakeStore
-	log    *Log
-	source *Store
-	seam   *platform.Store
-	addr   string
-	server *peer.Server
+	name    string
+	store   *fakeStore
+	log     *Log
+	source  *Store
+	relayed *platform.Store
+	addr    string
+	server  *peer.Server
 }
 
-// deployment is some entries in one zone that hear each other.
+// deployment is a set of entries in one zone that know each other. age is the age of their last
+// confirmations.
 type deployment struct {
 	t       *testing.T
 	entries []*entryFixture
@@ -79,15 +81,15 @@
 		t.Cleanup(e.server.Close)
 		e.addr = e.server.Addr()
 		e.source = New(Settings{Name: name, Zone: "z", Delegates: 1, Wait: 100 * time.Millisecond, Slack: time.Second, Stale: 5 * time.Second, AvoidFor: time.Minute, AvoidStaleFor: time.Minute, RetryAfter: time.Minute},
-			e.store.seam(), e.log, func() []Peer { return d.others(name) }, listed(), events.Nop(), time.Now)
-		e.seam = e.source.Platform()
+			e.store.platformStore(), e.log, func() []Peer { return d.others(name) }, closedChannel(), events.Nop(), time.Now)
+		e.relayed = e.source.Platform()
 		d.entries = append(d.entries, e)
 	}
 	return d
 }
 
-// listed is that of entries that know each other.
-func listed() <-chan struct{} {
+// closedChannel returns a closed channel: the list of peers is known from the start.
+func closedChannel() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -103,24 +105,24 @@
 	return out
 }
 
-// list makes each entry read the whole table.
+// list makes each entry read the whole table and resets the counts of calls.
 func (d *deployment) list() {
 	d.t.Helper()
 	for _, e := range d.entries {
-		if _, err := e.seam.List(d.t.Context(), table); err != nil {
+		if _, err := e.relayed.List(d.t.Context(), table); err != nil {
 			d.t.Fatal(err)
 		}
 		e.store.calls = 0
 	}
 }
 
-// changes asks for what came after the version that all entries have listed.
+// changes asks for the changes after version 5, which all entries have listed.
 func (e *entryFixture) changes(t *testing.T) (platform.Snapshot, error) {
 	t.Helper()
-	return e.seam.Changes(t.Context(), table, 5, 0)
+	return e.relayed.Changes(t.Context(), table, 5, 0)
 }
 
-func TestOthersAskTheDelegate(t *testing.T) {
+func TestOnlyDelegateCallsStore(t *testing.T) {
 	d := newDeployment(t, "a", "b", "c")
 	d.list()
 	for _, e := range d.entries {
@@ -129,29 +131,29 @@
 		}
 	}
 	if d.entries[0].store.calls != 1 || d.entries[1].store.calls != 0 || d.entries[2].store.calls != 0 {
-		t.Errorf("calls of a, b and c: %d %d %d, want the delegate's only", d.entries[0].store.calls, d.entries[1].store.calls, d.entries[2].store.calls)
+		t.Errorf("calls of a, b and c to the store: %d %d %d, want one by the delegate only", d.entries[0].store.calls, d.entries[1].store.calls, d.entries[2].store.calls)
 	}
 }
 
-func TestChangeReachesOthersAtOnce(t *testing.T) {
+func TestChangeEndsLongPoll(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	got := make(chan platform.Snapshot, 1)
 	go func() {
-		s, err := d.entries[1].seam.Changes(t.Context(), table, 5, 0)
+		s, err := d.entries[1].relayed.Changes(t.Context(), table, 5, 0)
 		if err != nil {
 			t.Error(err)
 		}
 		got <- s
 	}()
-	d.entries[0].log.note(table, platform.Snapshot{Version: 8, Made: time.Now(), Records: []platform.Record{{Name: "a", Version: 8, Gone: true}}}, false)
+	d.entries[0].log.apply(table, platform.Snapshot{Version: 8, Made: time.Now(), Records: []platform.Record{{Name: "a", Version: 8, Gone: true}}}, false)
 	s := <-got
 	if len(s.Records) != 1 || !s.Records[0].Gone || s.Version != 8 {
 		t.Errorf("got %+v, want the removal", s)
 	}
 }
 
-func TestAgeIsNeverTooYoung(t *testing.T) {
+func TestRelayedAgeIsNotUnderstated(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	made := time.Now().Add(-3 * time.Second)
@@ -160,23 +162,23 @@
 	d.entries[0].log.mu.Unlock()
 	s, err := d.entries[1].changes(t)
 	if err != nil || s.Made.After(made) {
-		t.Errorf("made %s after it was, %v", s.Made.Sub(made), err)
+		t.Errorf("age is understated by %s, %v", s.Made.Sub(made), err)
 	}
 }
 
-func TestWhenTheDelegateCannotTell(t *testing.T) {
+func TestStoreCalledWhenDelegateCannotAnswer(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		spoil func(d *deployment)
+		name          string
+		breakDelegate func(d *deployment)
 	}{
-		{"it is gone", func(d *deployment) { d.entries[0].server.Close() }},
-		{"the store turns it away", func(d *deployment) { d.entries[0].log.failed(table) }},
-		{"it knows only old things", func(d *deployment) {
+		{"delegate is down", func(d *deployment) { d.entries[0].server.Close() }},
+		{"call of the delegate to the store failed", func(d *deployment) { d.entries[0].log.markFailed(table) }},
+		{"table of the delegate is stale", func(d *deployment) {
 			d.entries[0].log.mu.Lock()
 			d.entries[0].log.table(table).made = time.Now().Add(-time.Minute)
 			d.entries[0].log.mu.Unlock()
 		}},
-		{"it began after the version asked for", func(d *deployment) {
+		{"history of the delegate is too short", func(d *deployment) {
 			d.entries[0].log.mu.Lock()
 			d.entries[0].log.table(table).floor = 9
 			d.entries[0].log.mu.Unlock()
@@ -185,23 +187,24 @@
 		t.Run(tc.name, func(t *testing.T) {
 			d := newDeployment(t, "a", "b")
 			d.list()
-			tc.spoil(d)
+			tc.breakDelegate(d)
 			if _, err := d.entries[1].changes(t); err != nil || d.entries[1].store.calls != 1 {
-				t.Errorf("%v, %d calls; want the store asked itself", err, d.entries[1].store.calls)
+				t.Errorf("%v, %d calls; want one call to the store", err, d.entries[1].store.calls)
 			}
 		})
 	}
 }
 
-// An entry that the store turns away goes by what another one is told.
-func TestEntryThatIsTurnedAway(t *testing.T) {
+// An entry that gets no answer from the store reads the changes from a peer with a recent
+// confirmation.
+func TestChangesFromPeerWhenStoreFails(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		age  time.Duration
 		want bool
 	}{
-		{"another one is served", 0, true},
-		{"nobody has been served lately", time.Minute, false},
+		{"peer reaches the store", 0, true},
+		{"no peer has reached the store recently", time.Minute, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := newDeployment(t, "a", "b")
@@ -219,20 +222,20 @@
 	}
 }
 
-func TestEntryThatStartsWhileTheStoreIsAway(t *testing.T) {
+func TestListFromPeerWhenStoreIsDown(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	d.entries[0].store.down = true
 	d.entries[0].log = NewLog(time.Now)
-	s, err := d.entries[0].seam.List(t.Context(), table)
+	s, err := d.entries[0].relayed.List(t.Context(), table)
 	if err != nil || len(s.Records) != 1 {
-		t.Errorf("%+v, %v; want the whole table from the other entry", s, err)
+		t.Errorf("%+v, %v; want the whole table from the peer", s, err)
 	}
 }
 
-// TestEntryThatStartsWhileTheStoreIsSilent: a store that does not answer at all
-// takes only a part of the time for the call, so that another entry can be asked.
-func TestEntryThatStartsWhileTheStoreIsSilent(t *testing.T) {
+// TestListFromPeerWhenStoreDoesNotAnswer checks that a store that does not respond uses up only a
+// part of the time for the call, so that a peer can be asked in the rest.
+func TestListFromPeerWhenStoreDoesNotAnswer(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	direct := d.entries[0].source.direct
@@ -242,15 +245,15 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	s, err := d.entries[0].seam.List(ctx, table)
+	s, err := d.entries[0].relayed.List(ctx, table)
 	if err != nil || len(s.Records) != 1 {
-		t.Errorf("%+v, %v; want the whole table from the other entry", s, err)
+		t.Errorf("%+v, %v; want the whole table from the peer", s, err)
 	}
 }
 
-// TestEntryThatStartsLongIntoAnOutage: an old table is better than none; its age
-// is told with it.
-func TestEntryThatStartsLongIntoAnOutage(t *testing.T) {
+// TestListAcceptsOldTableDuringOutage checks that an entry that starts during an outage of the
+// store gets an old table, with its age, rather than none.
+func TestListAcceptsOldTableDuringOutage(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	made := time.Now().Add(-time.Hour)
@@ -259,15 +262,15 @@
 	d.entries[1].log.mu.Unlock()
 	d.age = time.Hour
 	d.entries[0].store.down = true
-	s, err := d.entries[0].seam.List(t.Context(), table)
+	s, err := d.entries[0].relayed.List(t.Context(), table)
 	if err != nil || len(s.Records) != 1 || s.Made.After(made) {
 		t.Errorf("%+v, %v; want the old table with its age", s, err)
 	}
 }
 
-// TestAnotherDelegateIsAskedBeforeTheStore: a delegate that is merely late must not
-// send all entries to the store.
-func TestAnotherDelegateIsAskedBeforeTheStore(t *testing.T) {
+// TestSecondDelegateAskedBeforeStore checks that a stale answer of one delegate does not send all
+// entries to the store.
+func TestSecondDelegateAskedBeforeStore(t *testing.T) {
 	d := newDeployment(t, "a", "b", "c", "d", "e")
 	for _, e := range d.entries {
 		e.source.settings.Delegates = 2
@@ -283,9 +286,10 @@
 	}
 }
 
-// TestTurnsAtTheStore: while the store answers nobody, the entries that no other one
-// can tell share a bounded number of calls, and one of them notices its return.
-func TestTurnsAtTheStore(t *testing.T) {
+// TestStoreCallsAreBoundedWhenStoreIsDown checks that entries whose peers cannot answer share a
+// bounded number of calls while the store is down, and that one of them soon notices when the
+// store is back.
+func TestStoreCallsAreBoundedWhenStoreIsDown(t *testing.T) {
 	const entries, steps, step = 20, 400, 10 * time.Millisecond
 	names := make([]string, entries)
 	for i := range names {
@@ -313,10 +317,10 @@
 			_, _ = e.changes(t)
 		}
 	}
-	// 4 s allow 80 turns; each entry may follow the store once for the others besides,
-	// and turns are spread to both sides.
+	// 4 s allow 80 turns. Each entry may also make one call as a delegate, and random intervals
+	// between turns may be shorter than the mean.
 	if got := calls(); got > 80+entries+entries/2 {
-		t.Errorf("%d calls in %s while the store answered nobody", got, steps*step)
+		t.Errorf("%d calls in %s while the store was down", got, steps*step)
 	}
 	before := now
 	for _, e := range d.entries {
@@ -329,14 +333,14 @@
 			}
 		}
 		if now.Sub(before) > time.Second {
-			t.Fatalf("no entry noticed within %s that the store answers", now.Sub(before))
+			t.Fatalf("no entry reached the store again within %s", now.Sub(before))
 		}
 	}
 }
 
-// TestQuestionIsHeldNoLongerThanTheBoundLeaves: what an entry goes by must not grow
-// older than the bound while a delegate that was just cut off holds its question.
-func TestQuestionIsHeldNoLongerThanTheBoundLeaves(t *testing.T) {
+// TestLongPollEndsBeforeTableIsStale checks that the table of an entry does not become stale while
+// a delegate that has just lost the store holds the long poll.
+func TestLongPollEndsBeforeTableIsStale(t *testing.T) {
 	const left, slack = 200 * time.Millisecond, 150 * time.Millisecond
 	d := newDeployment(t, "a", "b")
 	d.list()
@@ -353,11 +357,11 @@
 		}
 	}
 	if took := time.Since(start); took > left+slack {
-		t.Errorf("turned to the store after %s, want after the %s that the bound left", took, left)
+		t.Errorf("called the store after %s, want within the %s until the table is stale", took, left)
 	}
 }
 
-func TestDroppedHistoryIsPassedOn(t *testing.T) {
+func TestErrHistoryGoneIsReturned(t *testing.T) {
 	d := newDeployment(t, "a")
 	d.list()
 	d.entries[0].store.err = platform.ErrHistoryGone
@@ -366,38 +370,37 @@
 	}
 }
 
-func TestLogTellsWhatAWholeTableLacks(t *testing.T) {
+func TestWholeTableTombstonesMissingRows(t *testing.T) {
 	l := NewLog(time.Now)
-	l.note(table, platform.Snapshot{Version: 3, Records: []platform.Record{{Name: "a", Version: 1}, {Name: "b", Version: 2}}}, true)
-	l.note(table, platform.Snapshot{Version: 9, Records: []platform.Record{{Name: "b", Version: 2}}}, true)
+	l.apply(table, platform.Snapshot{Version: 3, Records: []platform.Record{{Name: "a", Version: 1}, {Name: "b", Version: 2}}}, true)
+	l.apply(table, platform.Snapshot{Version: 9, Records: []platform.Record{{Name: "b", Version: 2}}}, true)
 	s, ok := l.since(table, 3)
 	if !ok || len(s.Records) != 1 || s.Records[0].Name != "a" || !s.Records[0].Gone {
 		t.Errorf("since 3: %+v, %v; want the removal of a", s.Records, ok)
 	}
-	if whole := l.live(l.table(table)); len(whole.Records) != 1 {
-		t.Errorf("whole table %+v, want b only", whole.Records)
+	if whole := l.liveSnapshot(l.table(table)); len(whole.Records) != 1 {
+		t.Errorf("whole table %+v, want only b", whole.Records)
 	}
 }
 
-func TestLogForgetsRemovedRows(t *testing.T) {
+func TestTombstonesArePruned(t *testing.T) {
 	at := time.Now()
 	l := NewLog(func() time.Time { return at })
-	l.note(table, platform.Snapshot{Version: 1}, true)
-	l.note(table, platform.Snapshot{Version: 5, Records: []platform.Record{{Name: "a", Version: 5, Gone: true}}}, false)
-	at = at.Add(2 * keepGone)
-	l.note(table, platform.Snapshot{Version: 6, Records: []platform.Record{{Name: "b", Version: 6}}}, false)
+	l.apply(table, platform.Snapshot{Version: 1}, true)
+	l.apply(table, platform.Snapshot{Version: 5, Records: []platform.Record{{Name: "a", Version: 5, Gone: true}}}, false)
+	at = at.Add(2 * tombstoneTTL)
+	l.apply(table, platform.Snapshot{Version: 6, Records: []platform.Record{{Name: "b", Version: 6}}}, false)
 	if _, ok := l.since(table, 4); ok {
-		t.Error("the log tells changes since a version although it forgot one of them")
+		t.Error("the log answers from a version whose tombstones were pruned")
 	}
 	if _, ok := l.since(table, 5); !ok {
-		t.Error("the log cannot tell changes that it has")
+		t.Error("the log does not answer from a version that it holds")
 	}
 }
 
-// The time for which a delegate holds a question does not make its answer look
-// older: else answers at the end of its own wait would be refused as too old, and
-// all entries would turn to the store at once.
-func TestTimeAQuestionIsHeldIsNoAge(t *testing.T) {
+// The time for which a delegate holds a long poll must not count as age of the answer. Otherwise
+// answers at the end of a long poll are rejected as stale, and all entries call the store at once.
+func TestLongPollTimeDoesNotCountAsAge(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	for _, e := range d.entries {
@@ -409,17 +412,17 @@
 		t.Fatal(err)
 	}
 	if got.Made.After(made) {
-		t.Errorf("made %s after it was", got.Made.Sub(made))
+		t.Errorf("age is understated by %s", got.Made.Sub(made))
 	}
 	if early := made.Sub(got.Made); early > 100*time.Millisecond {
-		t.Errorf("made %s before it was, want a few milliseconds", early)
+		t.Errorf("age is overstated by %s, want a few milliseconds", early)
 	}
 }
 
-// TestAnswerTellsTheLatestConfirmation: what was confirmed while a question was held
-// counts. Otherwise a question that is held until the bound is answered as too old
-// although the delegate had been told meanwhile that nothing changed.
-func TestAnswerTellsTheLatestConfirmation(t *testing.T) {
+// TestConfirmationDuringLongPollCounts checks that a confirmation that arrives during a long poll
+// counts for its answer. Otherwise the answer at the end of the poll is rejected as stale although
+// the delegate knew that nothing had changed.
+func TestConfirmationDuringLongPollCounts(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	for _, e := range d.entries {
@@ -427,20 +430,20 @@
 	}
 	confirmed := time.Now().Add(200 * time.Millisecond)
 	time.AfterFunc(time.Until(confirmed), func() {
-		d.entries[0].log.note(table, platform.Snapshot{Version: 5, Made: confirmed}, false)
+		d.entries[0].log.apply(table, platform.Snapshot{Version: 5, Made: confirmed}, false)
 	})
 	got, err := d.entries[1].changes(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if early := confirmed.Sub(got.Made); early > 100*time.Millisecond {
-		t.Errorf("made %s before the confirmation that came while the question was held", early)
+		t.Errorf("answer is %s older than the confirmation during the long poll", early)
 	}
 }
 
-// A delegate that no longer reaches the store hands over to the next one: else
-// all entries would turn to the store for as long as it is cut off.
-func TestDelegateThatLostTheStoreHandsOver(t *testing.T) {
+// A delegate that loses the store must be replaced by the next entry. Otherwise all entries call
+// the store for as long as the delegate is cut off.
+func TestDelegateThatLostStoreIsReplaced(t *testing.T) {
 	d := newDeployment(t, "a", "b", "c", "d")
 	d.list()
 	d.entries[0].store.down = true
@@ -459,21 +462,21 @@
 	d.entries[0].store.down = false
 	d.entries[0].source.settings.RetryAfter = 0
 	if _, err := d.entries[0].changes(t); err != nil || d.entries[0].store.calls != 2 {
-		t.Errorf("a made %d calls, want one more after a while: %v", d.entries[0].store.calls, err)
+		t.Errorf("a made %d calls, want one more after RetryAfter: %v", d.entries[0].store.calls, err)
 	}
 }
 
-// TestAnswersAreEncodedOnce: all who ask for the same change get the same bytes, and
-// nothing old once the rows have changed.
-func TestAnswersAreEncodedOnce(t *testing.T) {
+// TestRepliesAreEncodedOnce checks that peers that ask for the same changes get the same encoded
+// bytes, and that the cached bytes are dropped when the rows change.
+func TestRepliesAreEncodedOnce(t *testing.T) {
 	l := NewLog(time.Now)
-	l.note(table, platform.Snapshot{Version: 5}, true)
+	l.apply(table, platform.Snapshot{Version: 5}, true)
 	put := func(version int64, name string) {
-		l.note(table, platform.Snapshot{Version: version, Records: []platform.Record{{Name: name, Version: version, Value: []byte(name)}}}, false)
+		l.apply(table, platform.Snapshot{Version: version, Records: []platform.Record{{Name: name, Version: version, Value: []byte(name)}}}, false)
 	}
-	ask := func(after int64) answer {
+	ask := func(after int64) reply {
 		t.Helper()
-		a, _, err := l.answer(table, after, 0)
+		a, _, err := l.changesReply(table, after, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -482,25 +485,24 @@
 	put(6, "a")
 	first, second := ask(5), ask(5)
 	if len(first.records) == 0 || &first.records[0] != &second.records[0] {
-		t.Error("the same answer is encoded twice")
+		t.Error("the same reply was encoded twice")
 	}
 	put(7, "b")
 	if got := ask(5); len(got.records) <= len(first.records) || got.version != 7 {
-		t.Errorf("after a change %s, version %d", got.records, got.version)
+		t.Errorf("after a change: records %s, version %d", got.records, got.version)
 	}
 	if got := ask(6); string(got.records) == string(ask(5).records) {
-		t.Errorf("who knows more is told %s", got.records)
+		t.Errorf("reply after a later version is the same as after an earlier one: %s", got.records)
 	}
 	if got := ask(7); got.records != nil || got.version != 7 {
-		t.Errorf("who knows all is told %s", got.records)
+		t.Errorf("reply without changes has records %s", got.records)
 	}
 }
 
-// The follower of one table gives its question up when the follower of another has lost
-// the store. Both ask over one connection, which was closed for it: the other question
-// was lost with its answer, and the entry that would have answered was not asked for a
-// while.
-func TestQuestionThatIsGivenUpEndsNoConnection(t *testing.T) {
+// The follower of one table cancels its call when the follower of another one has lost the store.
+// Both use the same connection. If the cancellation closes it, the other call is lost too, and the
+// peer that would have answered is avoided for a while.
+func TestCancelledCallKeepsConnection(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	b := d.entries[1]
@@ -523,14 +525,14 @@
 	default:
 	}
 	if b.source.avoided("a") {
-		t.Error("the other entry is not asked any more")
+		t.Error("the peer is avoided after a cancelled call")
 	}
 }
 
-// BenchmarkLargeAnswer is what one asker costs both sides: a route table of four thousand
-// routes, encoded once before, goes into a message and out of it.
+// BenchmarkLargeAnswer measures what the call of one peer costs both sides: a table of 4,000
+// routes that is already compressed is encoded into a message and decoded from it.
 func BenchmarkLargeAnswer(b *testing.B) {
-	a, err := answerOf(platform.Snapshot{Version: 7, Records: []platform.Record{{Name: "config", Version: 7, Value: largeTable(4000)}}})
+	a, err := newReply(platform.Snapshot{Version: 7, Records: []platform.Record{{Name: "config", Version: 7, Value: largeTable(4000)}}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -553,7 +555,7 @@
 	b.ReportMetric(float64(size), "B/message")
 }
 
-// largeTable is about as long as a table of so many routes.
+// largeTable returns JSON of about the size of a table with that many routes.
 func largeTable(routes int) []byte {
 	var b bytes.Buffer
 	for i := range routes {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -10,43 +10,46 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// The names tell the form of the answer: an entry of another release that does not know
-// it refuses, and the store is asked instead.
+// The method names identify the encoding of the answer. An entry of another release that lacks a
+// method returns an error, and the caller asks the store instead.
 const (
 	methodChanges = "relay.changes.packed"
 	methodList    = "relay.list.packed"
 )
 
-// errCannotTell is answered when this entry does not know the table well enough.
-var errCannotTell = errors.New("the table is not known here")
+// errNotAnswerable is returned to a peer if its call cannot be answered from the log: the table
+// was not read yet, its history is too short, its versions cannot be compared with those of the
+// peer, or the latest call for it failed.
+var errNotAnswerable = errors.New("the table is not known here")
 
 type changesParams struct {
 	Table string `json:"table"`
 	After int64  `json:"after"`
-	// Epoch is that of the store in which After counts; entries of earlier releases do not say.
+	// Epoch is the store's epoch to which After belongs. Entries of earlier releases do not send
+	// it.
 	Epoch  int64 `json:"epoch,omitempty"`
 	WaitMS int64 `json:"wait_ms"`
 }
 
 type listParams struct {
 	Table string `json:"table"`
-	// WaitMS is how long the question may be held until the table is known.
+	// WaitMS is how long the call may be held until the table is known.
 	WaitMS int64 `json:"wait_ms"`
 }
 
-// wireSnapshot is a platform.Snapshot between entries. Steady times mean
-// nothing to another process, so the age at the time of the answer is sent.
+// wireSnapshot is a platform.Snapshot as sent to a peer. A monotonic time is meaningless in
+// another process, so the age at the time of the answer is sent.
 type wireSnapshot struct {
-	// Records are packed once for all who ask the same.
+	// Records are encoded once for all peers that ask for the same rows.
 	Records []byte `json:"records,omitempty"`
 	Version int64  `json:"version"`
 	Epoch   int64  `json:"epoch,omitempty"`
 	AgeMS   int64  `json:"age_ms"`
-	// HeldMS is for how long the question was held, rounded down.
+	// HeldMS is how long the call was held, rounded down.
 	HeldMS int64 `json:"held_ms"`
 }
 
-// Methods answers the questions of other entries.
+// Methods returns the handlers for the calls of peers.
 func (l *Log) Methods() peer.Methods {
 	return peer.Methods{methodChanges: l.handleChanges, methodList: l.handleList}
 }
@@ -56,25 +59,26 @@
 	if err := json.Unmarshal(params, &p); err != nil {
 		return nil, err
 	}
-	asked := l.now()
+	receivedAt := l.now()
 	end := time.NewTimer(time.Duration(p.WaitMS) * time.Millisecond)
 	defer end.Stop()
-	for over := false; ; {
-		a, signs, err := l.answer(p.Table, p.After, p.Epoch)
+	for done := false; ; {
+		a, signals, err := l.changesReply(p.Table, p.After, p.Epoch)
 		if err != nil {
 			return nil, err
 		}
-		if len(a.records) > 0 || a.over || over {
-			return l.encode(a, asked), nil
+		if len(a.records) > 0 || a.immediate || done {
+			return l.encode(a, receivedAt), nil
 		}
 		select {
-		case <-signs.changed:
-		case <-signs.confirmed:
-			// Who asks passes it on in its turn, and would else know only older things.
-			over = true
+		case <-signals.changed:
+		case <-signals.confirmed:
+			// The peer relays the answer to others. Holding the call any longer would make the
+			// confirmation that they get older.
+			done = true
 		case <-end.C:
-			// What is known now may have been confirmed since the question came.
-			over = true
+			// The table may have been confirmed again while the call was held.
+			done = true
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -86,16 +90,16 @@
 	if err := json.Unmarshal(params, &p); err != nil {
 		return nil, err
 	}
-	asked := l.now()
+	receivedAt := l.now()
 	end := time.NewTimer(time.Duration(p.WaitMS) * time.Millisecond)
 	defer end.Stop()
 	for {
-		a, signs, err := l.wholeAnswer(p.Table)
-		if !errors.Is(err, errCannotTell) {
-			return l.encode(a, asked), err
+		a, signals, err := l.tableReply(p.Table)
+		if !errors.Is(err, errNotAnswerable) {
+			return l.encode(a, receivedAt), err
 		}
 		select {
-		case <-signs.changed:
+		case <-signals.changed:
 		case <-end.C:
 			return nil, err
 		case <-ctx.Done():
@@ -104,19 +108,19 @@
 	}
 }
 
-// answer is what is told to who asks for changes.
-type answer struct {
+// reply is the answer to a call for changes or for a whole table.
+type reply struct {
 	records []byte
 	version int64
 	epoch   int64
 	made    time.Time
-	// over ends a question at once, whatever there is to tell.
-	over bool
+	// immediate is set if the reply must be sent at once, even without records.
+	immediate bool
 }
 
-// answerOf encodes a snapshot; one without records has none encoded.
-func answerOf(s platform.Snapshot) (answer, error) {
-	a := answer{version: s.Version, made: s.Made}
+// newReply encodes a snapshot. The records of the reply are nil if the snapshot has none.
+func newReply(s platform.Snapshot) (reply, error) {
+	a := reply{version: s.Version, made: s.Made}
 	if len(s.Records) == 0 {
 		return a, nil
 	}
@@ -125,13 +129,14 @@
 	return a, err
 }
 
-func (l *Log) encode(a answer, asked time.Time) wireSnapshot {
+func (l *Log) encode(a reply, receivedAt time.Time) wireSnapshot {
 	now := l.now()
-	return wireSnapshot{Records: a.records, Version: a.version, Epoch: a.epoch, AgeMS: now.Sub(a.made).Milliseconds() + 1, HeldMS: now.Sub(asked).Milliseconds()}
+	return wireSnapshot{Records: a.records, Version: a.version, Epoch: a.epoch, AgeMS: now.Sub(a.made).Milliseconds() + 1, HeldMS: now.Sub(receivedAt).Milliseconds()}
 }
 
-// decode turns an answer into a Snapshot. The age was taken at least as long after
-// the question was sent as it was held, so what is made of it is never too young.
+// decode turns an answer into a Snapshot. The answer was made no earlier than sent plus the time
+// for which the call was held, so subtracting its age from that time never makes the snapshot look
+// newer than it is.
 func (w wireSnapshot) decode(sent time.Time) (platform.Snapshot, error) {
 	s := platform.Snapshot{Version: w.Version, Epoch: w.Epoch, Made: sent.Add(time.Duration(w.HeldMS-w.AgeMS) * time.Millisecond)}
 	if len(w.Records) == 0 {
--- a/internal/relay/starts_test.go
+++ b/internal/relay/starts_test.go
@@ -9,14 +9,15 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// TestStartAsksTheDelegate: hundreds of entries that start, at once or after the others, must not
-// each read the tables from the store.
-func TestStartAsksTheDelegate(t *testing.T) {
+// TestInitialListAsksDelegate checks that entries that start, together or one after the other,
+// read their tables from a delegate. Otherwise hundreds of entries would each read them from the
+// store.
+func TestInitialListAsksDelegate(t *testing.T) {
 	d := newDeployment(t, "a", "b", "c", "d", "e")
 	for _, e := range d.entries {
 		e.source.settings.Wait = 2 * time.Second
 	}
-	// The delegate reads the table itself while the others ask it.
+	// The delegate is still reading the table when the others ask for it.
 	read := make(chan struct{})
 	direct := d.entries[0].source.direct
 	list := direct.List
@@ -27,7 +28,7 @@
 	var all sync.WaitGroup
 	for _, e := range d.entries {
 		all.Go(func() {
-			s, err := e.seam.List(t.Context(), table)
+			s, err := e.relayed.List(t.Context(), table)
 			if err != nil || len(s.Records) != 1 || s.Version != 5 {
 				t.Errorf("%s read %+v, %v; want the whole table", e.name, s, err)
 			}
@@ -46,23 +47,23 @@
 	}
 }
 
-// TestStartWithoutADelegate: an entry that starts reads the store itself where the delegate does
-// not know the table in time, or is gone.
-func TestStartWithoutADelegate(t *testing.T) {
+// TestInitialListFallsBackToStore checks that a starting entry reads the store itself if the
+// delegate is down or does not know the table in time.
+func TestInitialListFallsBackToStore(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		spoil func(delegate *entryFixture)
+		name          string
+		breakDelegate func(delegate *entryFixture)
 	}{
-		{"it knows nothing yet", func(*entryFixture) {}},
-		{"it is gone", func(e *entryFixture) { e.server.Close() }},
-		{"it knows only old things", func(e *entryFixture) {
-			e.log.note(table, platform.Snapshot{Version: 1, Made: time.Now().Add(-time.Hour)}, true)
+		{"delegate has no table yet", func(*entryFixture) {}},
+		{"delegate is down", func(e *entryFixture) { e.server.Close() }},
+		{"table of the delegate is stale", func(e *entryFixture) {
+			e.log.apply(table, platform.Snapshot{Version: 1, Made: time.Now().Add(-time.Hour)}, true)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := newDeployment(t, "a", "b")
-			tc.spoil(d.entries[0])
-			s, err := d.entries[1].seam.List(t.Context(), table)
+			tc.breakDelegate(d.entries[0])
+			s, err := d.entries[1].relayed.List(t.Context(), table)
 			if err != nil || s.Version != 5 || d.entries[1].store.calls != 1 {
 				t.Errorf("read %+v, %v with %d calls, want the store's table", s, err, d.entries[1].store.calls)
 			}
@@ -70,14 +71,14 @@
 	}
 }
 
-// TestStartWaitsForTheList: who asks before the list of entries is read finds no other entry, and
-// would read from the store.
-func TestStartWaitsForTheList(t *testing.T) {
+// TestInitialListWaitsForPeers checks that the first read waits for the list of peers. An entry
+// that reads earlier finds no peer and calls the store.
+func TestInitialListWaitsForPeers(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	b := d.entries[1].source
 	known := make(chan struct{})
-	b.listed, b.settings.ListedWithin = known, 10*time.Second
+	b.peersReady, b.settings.ListedWithin = known, 10*time.Second
 	others := b.peers
 	b.peers = func() []Peer {
 		select {
@@ -88,7 +89,7 @@
 		}
 	}
 	time.AfterFunc(30*time.Millisecond, func() { close(known) })
-	if _, err := d.entries[1].seam.List(t.Context(), table); err != nil || d.entries[1].store.calls != 0 {
-		t.Errorf("%v, %d calls to the store; want the table from the other entry", err, d.entries[1].store.calls)
+	if _, err := d.entries[1].relayed.List(t.Context(), table); err != nil || d.entries[1].store.calls != 0 {
+		t.Errorf("%v, %d calls to the store; want the table from the peer", err, d.entries[1].store.calls)
 	}
 }
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -14,35 +14,36 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// ErrStale is wrapped when another entry's answer is too old to go by.
-var ErrStale = errors.New("the other entry's answer is too old")
+// ErrStale is wrapped when the answer of a peer is too old to use or comes from an earlier epoch
+// of the store.
+var ErrStale = errors.New("answer of the peer is too old")
 
-// Settings are the fixed numbers of a Store.
+// Settings are the fixed parameters of a Store.
 type Settings struct {
-	// Name, Zone and Size are the own entry's.
+	// Name, Zone and Size describe this entry.
 	Name string
 	Zone string
 	Size roster.Size
-	// Delegates is the number of entries that follow the store for all.
+	// Delegates is the number of entries that poll the store on behalf of all.
 	Delegates int
-	// Wait is how long another entry holds a question for changes; it bounds how
-	// late its silence is noticed.
+	// Wait is the longest time for which a peer holds a long poll for changes. It bounds how late
+	// an unresponsive peer is noticed.
 	Wait time.Duration
-	// Slack is the time beyond Wait after which a question is given up.
+	// Slack is the time beyond Wait after which a call to a peer times out.
 	Slack time.Duration
-	// Stale is the age from which another entry's answer is not gone by.
+	// Stale is the age from which the answer of a peer is not used any more.
 	Stale time.Duration
-	// AvoidFor is how long an entry that failed is not asked, and AvoidStaleFor one
-	// whose answer was too old.
+	// AvoidFor is how long a peer is not asked after a failed call, and AvoidStaleFor after an
+	// answer that was too old.
 	AvoidFor      time.Duration
 	AvoidStaleFor time.Duration
-	// CallEach is the time between two calls to the store of all entries that are not
-	// to follow it and that no other one can tell.
+	// CallEach is the mean time between two calls to the store, over all entries that are not
+	// delegates and get no answer from a peer.
 	CallEach time.Duration
-	// RetryAfter is the time after which an entry that did not reach the store
-	// may follow it for others again.
+	// RetryAfter is the time after which an entry that failed to reach the store may be a delegate
+	// again.
 	RetryAfter time.Duration
-	// ListedWithin is the time in which an entry that starts learns which others there are.
+	// ListedWithin bounds how long an entry waits at its start for the list of its peers.
 	ListedWithin time.Duration
 }
 
@@ -51,61 +52,61 @@
 	Name string
 	Zone string
 	Size roster.Size
-	// Address is the IP:port of its relay.
+	// Address is the IP:port of the relay server of the peer.
 	Address string
-	// Confirmed is the steady time for which it knew the routes to be the newest.
+	// Confirmed is the monotonic time at which the peer last knew that its routes were up to date.
 	Confirmed time.Time
-	// StoreLost tells that it does not reach the store itself.
+	// StoreLost is set while the peer cannot reach the store itself.
 	StoreLost bool
 }
 
-// Store answers from the platform's store or from another entry.
+// Store reads tables from the platform's store or from a peer.
 type Store struct {
 	settings Settings
 	direct   *platform.Store
 	log      *Log
 	peers    func() []Peer
-	// listed is closed once the list of entries was read, or cannot be.
-	listed <-chan struct{}
-	rec    *events.Recorder
-	now    func() time.Time
-	dial   func(ctx context.Context, address string) (*peer.Conn, error)
-	// random returns a number from 0 up to 1.
+	// peersReady is closed once the list of peers was read or its read has failed.
+	peersReady <-chan struct{}
+	rec        *events.Recorder
+	now        func() time.Time
+	dial       func(ctx context.Context, address string) (*peer.Conn, error)
+	// random returns a number in [0, 1).
 	random func() float64
 
-	mu    sync.Mutex
-	conns map[string]*peer.Conn
-	avoid map[string]time.Time
-	asked map[string]string
-	// lostAt is when a call to the store itself last failed; zero once one was
-	// answered after that.
-	lostAt time.Time
-	// turnAt is when this entry may ask the store although others are to follow it,
-	// since no other one can tell; zero while that is not needed.
-	turnAt time.Time
+	mu         sync.Mutex
+	conns      map[string]*peer.Conn
+	avoidUntil map[string]time.Time
+	sources    map[string]string
+	// storeFailedAt is when a direct call to the store last failed. It is zero once a later call
+	// has succeeded.
+	storeFailedAt time.Time
+	// nextTurn is when this entry, though not a delegate, may call the store because no peer can
+	// answer. It is zero while a peer can.
+	nextTurn time.Time
 }
 
-// New returns a Store over direct that keeps what it learns in log, for others. listed is closed
-// once the list of entries was read, and peers tells of those in it.
-func New(settings Settings, direct *platform.Store, log *Log, peers func() []Peer, listed <-chan struct{}, rec *events.Recorder, now func() time.Time) *Store {
+// New returns a Store over direct that records what it reads in log, from which peers are
+// answered. peers lists the other entries; peersReady is closed once that list was read.
+func New(settings Settings, direct *platform.Store, log *Log, peers func() []Peer, peersReady <-chan struct{}, rec *events.Recorder, now func() time.Time) *Store {
 	return &Store{
-		settings: settings, direct: direct, log: log, peers: peers, listed: listed, rec: rec, now: now,
+		settings: settings, direct: direct, log: log, peers: peers, peersReady: peersReady, rec: rec, now: now,
 		dial: func(ctx context.Context, address string) (*peer.Conn, error) { return peer.Dial(ctx, address, nil) }, random: rand.Float64,
-		conns: map[string]*peer.Conn{}, avoid: map[string]time.Time{}, asked: map[string]string{},
+		conns: map[string]*peer.Conn{}, avoidUntil: map[string]time.Time{}, sources: map[string]string{},
 	}
 }
 
-// Platform returns the Store behind the seam that followers use. Writes go to
-// the platform's store.
+// Platform returns this Store in the form that table followers use. Writes go to the platform's
+// store directly.
 func (s *Store) Platform() *platform.Store {
 	return &platform.Store{List: s.list, Changes: s.changes, Put: s.direct.Put, Remove: s.direct.Remove}
 }
 
-// list reads the whole table from an entry that follows it for this one, else from the store, or
-// from the entry with the freshest answer while the store does not answer. Who lists a table
-// knows nothing of it, so an old answer is better than none; it tells its age.
+// list reads the whole table from a delegate, or else from the store. If both fail, it reads the
+// table from the peer with the freshest copy at any age: the caller has no copy yet, so an old
+// table is better than none, and the snapshot carries its age.
 func (s *Store) list(ctx context.Context, table string) (platform.Snapshot, error) {
-	s.awaitListed(ctx)
+	s.awaitPeerList(ctx)
 	for range maxAsked {
 		p, ok, _ := s.source()
 		if !ok {
@@ -117,59 +118,60 @@
 	}
 	snap, err := s.listDirect(ctx, table)
 	if err != nil {
-		for _, p := range s.freshest(unbounded) {
-			if snap, relayed := s.askList(ctx, p, table, unbounded); relayed == nil {
+		for _, p := range s.freshest(anyAge) {
+			if snap, relayed := s.askList(ctx, p, table, anyAge); relayed == nil {
 				return snap, nil
 			}
 		}
-		s.log.failed(table)
+		s.log.markFailed(table)
 		return platform.Snapshot{}, err
 	}
-	s.took(table, "")
-	s.log.note(table, snap, true)
+	s.recordSource(table, "")
+	s.log.apply(table, snap, true)
 	return snap, nil
 }
 
-// askList asks another entry for the whole table, if what it knows is not older than oldest. One
-// that reads the table itself at that moment holds the question until it knows it.
+// askList asks a peer for the whole table and rejects an answer that is older than oldest. A peer
+// that is itself reading the table from the store holds the call until it knows the table.
 func (s *Store) askList(ctx context.Context, p Peer, table string, oldest time.Duration) (platform.Snapshot, error) {
 	snap, err := s.ask(ctx, p, methodList, table, listParams{Table: table, WaitMS: s.settings.Wait.Milliseconds()}, oldest)
 	if err == nil {
-		s.took(table, p.Name)
-		s.log.note(table, snap, true)
+		s.recordSource(table, p.Name)
+		s.log.apply(table, snap, true)
 	}
 	return snap, err
 }
 
-// ListFrom returns what one entry knows of a table, for an entry that hears from it that it knows
-// later rows. What it tells is taken for no answer of the store.
+// ListFrom returns the copy of a table that the named peer holds. It is called when gossip shows
+// that the peer has later rows. The copy does not count as an answer of the store and is not
+// written to the log.
 func (s *Store) ListFrom(ctx context.Context, name, table string) (platform.Snapshot, error) {
 	for _, p := range s.peers() {
 		if p.Name == name {
 			return s.call(ctx, p, methodList, listParams{Table: table})
 		}
 	}
-	return platform.Snapshot{}, fmt.Errorf("%w: %s", errNotHeard, name)
+	return platform.Snapshot{}, fmt.Errorf("%w: %s", errUnknownPeer, name)
 }
 
-// errNotHeard is for an entry that is not heard any more.
-var errNotHeard = errors.New("the entry is not heard")
+// errUnknownPeer is wrapped when the named entry is not among the live peers.
+var errUnknownPeer = errors.New("entry is not among the live peers")
 
-// awaitListed returns once this entry knows which others there are, or will not learn it soon:
-// hundreds of entries that start together would each read the tables from the store otherwise.
-func (s *Store) awaitListed(ctx context.Context) {
+// awaitPeerList waits until the list of peers was read, at most ListedWithin. Without the wait,
+// each of hundreds of entries that start together would read its tables from the store.
+func (s *Store) awaitPeerList(ctx context.Context) {
 	t := time.NewTimer(s.settings.ListedWithin)
 	defer t.Stop()
 	select {
-	case <-s.listed:
+	case <-s.peersReady:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// listDirect reads the whole table from the store. It leaves half of the time to
-// other entries: a store that is silent would else use it up, and an entry that
-// starts meanwhile would never learn the table.
+// listDirect reads the whole table from the store within half of the time left. The other half is
+// for asking peers: otherwise a store that does not respond would use up the time, and an entry
+// that starts during the outage would never get the table.
 func (s *Store) listDirect(ctx context.Context, table string) (platform.Snapshot, error) {
 	deadline, bounded := ctx.Deadline()
 	if bounded {
@@ -178,12 +180,12 @@
 		defer cancel()
 	}
 	snap, err := s.direct.List(ctx, table)
-	s.reached(ctx, err)
+	s.recordStoreResult(ctx, err)
 	return snap, err
 }
 
-// changes asks the delegates of this entry, then the store if this entry is to follow
-// it or its turn has come, then the entry with the freshest answer.
+// changes asks the delegates of this entry, then the store if this entry is a delegate or its turn
+// has come, then the peers with the freshest copies.
 func (s *Store) changes(ctx context.Context, table string, after int64, wait time.Duration) (platform.Snapshot, error) {
 	var self bool
 	for range maxAsked {
@@ -197,19 +199,19 @@
 		}
 	}
 	err := ErrNotAsked
-	if self || s.turn() {
+	if self || s.takeTurn() {
 		var snap platform.Snapshot
 		snap, err = s.direct.Changes(ctx, table, after, wait)
-		s.reached(ctx, err)
+		s.recordStoreResult(ctx, err)
 		switch {
 		case err == nil:
-			s.answered(table, "", snap)
+			s.applyChanges(table, "", snap)
 			return snap, nil
 		case errors.Is(err, platform.ErrHistoryGone):
 			return snap, err
 		}
 	}
-	s.log.failed(table)
+	s.log.markFailed(table)
 	for _, p := range s.freshest(s.settings.Stale) {
 		if snap, relayed := s.askChanges(ctx, p, table, after); relayed == nil {
 			return snap, nil
@@ -218,71 +220,72 @@
 	return platform.Snapshot{}, err
 }
 
-// askChanges asks another entry for changes and takes over its answer.
+// askChanges asks a peer for changes and applies its answer.
 func (s *Store) askChanges(ctx context.Context, p Peer, table string, after int64) (platform.Snapshot, error) {
-	params := changesParams{Table: table, After: after, Epoch: s.log.epoch(table), WaitMS: s.hold(table).Milliseconds()}
+	params := changesParams{Table: table, After: after, Epoch: s.log.epoch(table), WaitMS: s.longPollWait(table).Milliseconds()}
 	snap, err := s.ask(ctx, p, methodChanges, table, params, s.settings.Stale)
 	if err == nil {
-		s.answered(table, p.Name, snap)
+		s.applyChanges(table, p.Name, snap)
 	}
 	return snap, err
 }
 
-// answered takes over an answer with changes; source is empty for the store.
-func (s *Store) answered(table, source string, snap platform.Snapshot) {
-	s.took(table, source)
-	s.log.note(table, snap, false)
+// applyChanges applies an answer with changes. source is the name of the peer, empty for the
+// store.
+func (s *Store) applyChanges(table, source string, snap platform.Snapshot) {
+	s.recordSource(table, source)
+	s.log.apply(table, snap, false)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turnAt = time.Time{}
+	s.nextTurn = time.Time{}
 }
 
-// holdLeast is the least time for which another entry is asked to hold a question:
-// some round trips, so that questions do not follow each other at once.
-const holdLeast = 20 * time.Millisecond
+// minLongPollWait is the shortest wait of a long poll. It covers several round trips, so that
+// polls do not follow each other without a pause.
+const minLongPollWait = 20 * time.Millisecond
 
-// hold is how long another entry may hold a question for changes. It ends when what
-// is known here reaches the age from which it is not gone by: a delegate that was just cut off
-// holds it for longer.
-func (s *Store) hold(table string) time.Duration {
+// longPollWait returns how long a peer may hold a long poll for changes. It is no longer than the
+// time until the copy here reaches the age Stale, because a delegate that has just lost the store
+// would hold the poll for longer.
+func (s *Store) longPollWait(table string) time.Duration {
 	made := s.log.made(table)
 	if made.IsZero() {
 		return s.settings.Wait
 	}
 	left := s.settings.Stale - s.now().Sub(made)
-	return min(max(left, holdLeast), s.settings.Wait)
+	return min(max(left, minLongPollWait), s.settings.Wait)
 }
 
-// reached notes how a call to the store itself ended. A call that this process
-// gave up for another reason tells nothing.
-func (s *Store) reached(ctx context.Context, err error) {
+// recordStoreResult records whether a direct call to the store succeeded. A call that this process
+// cancelled says nothing about the store.
+func (s *Store) recordStoreResult(ctx context.Context, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case err == nil || errors.Is(err, platform.ErrHistoryGone):
-		s.lostAt = time.Time{}
-	case !givenUp(ctx):
-		s.lostAt = s.now()
+		s.storeFailedAt = time.Time{}
+	case !callerCancelled(ctx):
+		s.storeFailedAt = s.now()
 	}
 }
 
-// givenUp reports whether the asker gave a call up, which tells nothing of the other
-// side: other questions may be on their way over the same connection.
-func givenUp(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
+// callerCancelled reports whether the caller cancelled a call. Such a failure says nothing about
+// the remote side, and other calls may be in flight on the same connection.
+func callerCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
-// StoreLost reports whether this entry did not reach the store itself lately, so
-// that another one has to follow it for the others.
+// StoreLost reports whether this entry recently failed to reach the store, so that another one
+// must be a delegate in its place.
 func (s *Store) StoreLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.lostAt.IsZero() && s.now().Sub(s.lostAt) < s.settings.RetryAfter
+	return !s.storeFailedAt.IsZero() && s.now().Sub(s.storeFailedAt) < s.settings.RetryAfter
 }
 
-// took notes when the source of a table changes.
-func (s *Store) took(table, source string) {
+// recordSource logs an event when the source of a table changes.
+func (s *Store) recordSource(table, source string) {
 	s.mu.Lock()
-	before, known := s.asked[table]
-	s.asked[table] = source
+	before, known := s.sources[table]
+	s.sources[table] = source
 	s.mu.Unlock()
 	if !known || before != source {
 		s.rec.Note(events.SourceChanged, "", "table", table, "source", sourceName(source), "before", sourceName(before))
@@ -296,23 +299,23 @@
 	return peer
 }
 
-// ask asks another entry. One that fails or knows only older things than oldest
-// is not asked again for a while.
+// ask calls a peer. A peer that fails, or whose answer is older than oldest or of an earlier
+// epoch, is not asked again for a while.
 func (s *Store) ask(ctx context.Context, p Peer, method, table string, params any, oldest time.Duration) (platform.Snapshot, error) {
 	snap, err := s.call(ctx, p, method, params)
 	if age := s.now().Sub(snap.Made); err == nil && age > oldest {
-		err = fmt.Errorf("%w: %s knew the table of %s ago", ErrStale, p.Name, age.Round(time.Millisecond))
+		err = fmt.Errorf("%w: table of %s is %s old", ErrStale, p.Name, age.Round(time.Millisecond))
 	}
-	if err == nil && !s.log.tells(table, snap.Epoch) {
-		err = fmt.Errorf("%w: %s answers from before the store was restored from a copy", ErrStale, p.Name)
+	if err == nil && !s.log.acceptsEpoch(table, snap.Epoch) {
+		err = fmt.Errorf("%w: %s answered from before the store was restored from a copy", ErrStale, p.Name)
 	}
-	if err != nil && !givenUp(ctx) {
+	if err != nil && !callerCancelled(ctx) {
 		avoid := s.settings.AvoidFor
 		if errors.Is(err, ErrStale) {
 			avoid = s.settings.AvoidStaleFor
 		}
 		s.mu.Lock()
-		s.avoid[p.Name] = s.now().Add(avoid)
+		s.avoidUntil[p.Name] = s.now().Add(avoid)
 		s.mu.Unlock()
 		s.rec.Note(events.RelayFailed, "", "peer", p.Name, "error", err)
 	}
@@ -329,8 +332,8 @@
 	sent := s.now()
 	var w wireSnapshot
 	if err := c.Call(ctx, method, params, &w); err != nil {
-		if !errors.Is(err, peer.ErrRefused) && !givenUp(ctx) {
-			s.drop(p.Address, c)
+		if !errors.Is(err, peer.ErrRefused) && !callerCancelled(ctx) {
+			s.closeConn(p.Address, c)
 		}
 		return platform.Snapshot{}, err
 	}
@@ -358,7 +361,7 @@
 	return c, nil
 }
 
-func (s *Store) drop(address string, c *peer.Conn) {
+func (s *Store) closeConn(address string, c *peer.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// ErrNotAsked is answered while no other entry can tell and it is left to others to
-// ask the store itself.
-var ErrNotAsked = errors.New("other entries ask the store")
+// ErrNotAsked is returned if no peer can answer and it is not the turn of this entry to call the
+// store.
+var ErrNotAsked = errors.New("no peer answered, and it is not the turn of this entry to call the store")
 
-// turnsMost is the number of entries that take turns at the store. The others wait until one of
-// these can tell them: with a turn for each of hundreds, one that no other can tell would wait for
-// longer than routes are trusted.
-const turnsMost = 32
+// maxTurnTakers is the number of entries that take turns at calling the store. The others wait
+// until one of these can answer them. If each of hundreds had a turn, an entry that gets no answer
+// from its peers would wait for longer than routes are trusted.
+const maxTurnTakers = 32
 
-// turn reports whether this entry may ask the store for what no other entry can tell, and
-// takes its turn. What all know grows old at the same moment when the store falls silent,
-// so all would ask it then, and again after each failure. Each waits for a random part of
-// the time in which all have their turn, which serves for all tables.
-func (s *Store) turn() bool {
-	if !s.due() {
+// takeTurn reports whether this entry may call the store now although it is not a delegate, and
+// uses up its turn. When the store stops answering, all copies become stale at the same moment, so
+// without turns all entries would call it at once, and again after each failure. Each entry waits
+// for a random part of the cycle in which all of them have a turn; one turn serves all tables.
+func (s *Store) takeTurn() bool {
+	if !s.turnDue() {
 		return false
 	}
-	all := ranked(append(s.peers(), s.own()))
-	takers := all[:min(len(all), turnsMost)]
+	all := ranked(append(s.peers(), s.ownPeer()))
+	takers := all[:min(len(all), maxTurnTakers)]
 	return slices.ContainsFunc(takers, func(p Peer) bool { return p.Name == s.settings.Name })
 }
 
-// due reports whether the turn of this entry has come, and sets the next one.
-func (s *Store) due() bool {
-	all := float64(min(len(s.peers()), turnsMost)) * float64(s.settings.CallEach)
+// turnDue reports whether the turn of this entry has come, and schedules the next one if so.
+func (s *Store) turnDue() bool {
+	cycle := float64(min(len(s.peers()), maxTurnTakers)) * float64(s.settings.CallEach)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if s.turnAt.IsZero() {
-		s.turnAt = now.Add(time.Duration(s.random() * all))
+	if s.nextTurn.IsZero() {
+		s.nextTurn = now.Add(time.Duration(s.random() * cycle))
 	}
-	if now.Before(s.turnAt) {
+	if now.Before(s.nextTurn) {
 		return false
 	}
-	s.turnAt = now.Add(time.Duration((0.5 + s.random()) * all))
+	s.nextTurn = now.Add(time.Duration((0.5 + s.random()) * cycle))
 	return true
 }
--- a/internal/relay/zones_test.go
+++ b/internal/relay/zones_test.go
@@ -12,15 +12,15 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// fleet is a deployment of which each entry knows all others; nothing is sent.
+// fleet is a set of entries that all know each other. Nothing is sent between them.
 type fleet struct {
 	peers   []Peer
 	sources map[string]*Store
 	zones   map[string]string
 }
 
-// newFleet returns a fleet in six zones, of which each sixth entry has a large machine. In names
-// the small ones come first.
+// newFleet returns a fleet in six zones in which every sixth entry of a zone has a large machine.
+// The names of small machines sort first, so that an order by name would pick the wrong delegates.
 func newFleet(entries int, storeLost func(i int) bool) *fleet {
 	f := &fleet{sources: map[string]*Store{}, zones: map[string]string{}}
 	small, large := roster.Size{Cores: 0.144, LinkMbps: 20}, roster.Size{Cores: 1.6, LinkMbps: 1000}
@@ -35,33 +35,34 @@
 	for _, p := range f.peers {
 		s := New(Settings{Name: p.Name, Zone: p.Zone, Size: p.Size, Delegates: 2, RetryAfter: time.Minute}, &platform.Store{}, NewLog(time.Now), func() []Peer {
 			return slices.DeleteFunc(slices.Clone(f.peers), func(o Peer) bool { return o.Name == p.Name })
-		}, listed(), events.Nop(), time.Now)
+		}, closedChannel(), events.Nop(), time.Now)
 		if p.StoreLost {
-			s.lostAt = time.Now()
+			s.storeFailedAt = time.Now()
 		}
 		f.sources[p.Name] = s
 	}
 	return f
 }
 
-// TestWhoAsksWhom covers the paths by which what the store tells reaches all entries: who follows
-// it, how many ask one entry, how many times a change crosses between zones, and that each path
-// ends at an entry that follows the store.
-func TestWhoAsksWhom(t *testing.T) {
+// TestRelayTopology checks how data of the store reaches all entries: how many entries poll the
+// store, how many ask the same entry, how many calls cross between zones, and that each path ends
+// at an entry that polls the store.
+func TestRelayTopology(t *testing.T) {
 	none := func(int) bool { return false }
 	for _, tc := range []struct {
 		name      string
 		entries   int
 		storeLost func(i int) bool
-		// followers and crossings are the most entries that follow the store, and that ask one
-		// of another zone; askers is the most that ask one entry, hops the longest path.
+		// followers and crossings limit the entries that poll the store and those that ask an
+		// entry of another zone. askers limits the entries that ask the same one, and hops the
+		// length of the longest path.
 		followers, crossings, askers, hops int
 	}{
-		{"some tens", 30, none, 2, 30, 20, 1},
-		{"a hundred", 103, none, 2, 68, 68, 1},
+		{"30", 30, none, 2, 30, 20, 1},
+		{"103", 103, none, 2, 68, 68, 1},
 		{"412", 412, none, 2, 12, 64, 2},
-		{"412, a third without the store", 412, func(i int) bool { return i%3 == 0 }, 2, 12, 64, 2},
-		{"412, the large without the store", 412, func(i int) bool { return i/6%6 == 5 }, 2, 12, 64, 2},
+		{"412, a third cut off from the store", 412, func(i int) bool { return i%3 == 0 }, 2, 12, 64, 2},
+		{"412, large machines cut off from the store", 412, func(i int) bool { return i/6%6 == 5 }, 2, 12, 64, 2},
 		{"1,000", 1000, none, 2, 18, 90, 2},
 		{"2,000", 2000, none, 2, 36, 100, 2},
 	} {
@@ -75,7 +76,7 @@
 				case self:
 					followers++
 				case !ok:
-					t.Fatalf("%s has nobody to ask", name)
+					t.Fatalf("%s has no entry to ask", name)
 				default:
 					asks[name] = p.Name
 					asked[p.Name]++
@@ -99,16 +100,16 @@
 				longest = max(longest, hops)
 			}
 			if followers > tc.followers || crossings > tc.crossings || most > tc.askers || longest > tc.hops {
-				t.Errorf("%d follow the store, %d ask another zone, %d ask one entry, %d hops; want at most %d, %d, %d, %d",
+				t.Errorf("%d poll the store, %d ask another zone, %d ask one entry, %d hops; want at most %d, %d, %d, %d",
 					followers, crossings, most, longest, tc.followers, tc.crossings, tc.askers, tc.hops)
 			}
 		})
 	}
 }
 
-// TestDelegatesOfTheZoneFail: the next ones of the zone take their place, and where none is left,
-// those that follow the store are asked.
-func TestDelegatesOfTheZoneFail(t *testing.T) {
+// TestZoneDelegateFailover checks that the next entries of a zone replace delegates that fail, and
+// that the entries that poll the store are asked if none of the zone is left.
+func TestZoneDelegateFailover(t *testing.T) {
 	f := newFleet(412, func(int) bool { return false })
 	s := f.sources["a-small-0006"]
 	var before []string
@@ -118,11 +119,11 @@
 			t.Fatalf("asks %+v after %v failed", p, before)
 		}
 		before = append(before, p.Name)
-		s.avoid[p.Name] = time.Now().Add(time.Minute)
+		s.avoidUntil[p.Name] = time.Now().Add(time.Minute)
 	}
 	for _, p := range f.peers {
 		if p.Zone == s.settings.Zone {
-			s.avoid[p.Name] = time.Now().Add(time.Minute)
+			s.avoidUntil[p.Name] = time.Now().Add(time.Minute)
 		}
 	}
 	if p, ok, self := s.source(); !ok || self || p.Zone == s.settings.Zone {
@@ -130,9 +131,9 @@
 	}
 }
 
-// TestConfirmationIsPassedOnAtOnce: what goes through two entries must not grow older by the time
-// for which both hold questions.
-func TestConfirmationIsPassedOnAtOnce(t *testing.T) {
+// TestConfirmationEndsLongPoll checks that a confirmation is relayed at once. Otherwise data that
+// passes through two entries ages by the length of both long polls.
+func TestConfirmationEndsLongPoll(t *testing.T) {
 	d := newDeployment(t, "a", "b")
 	d.list()
 	d.entries[1].source.settings.Wait = 20 * time.Second
@@ -146,21 +147,22 @@
 	}()
 	time.Sleep(20 * time.Millisecond)
 	made := time.Now()
-	d.entries[0].log.note(table, platform.Snapshot{Version: 5, Made: made}, false)
+	d.entries[0].log.apply(table, platform.Snapshot{Version: 5, Made: made}, false)
 	select {
 	case s := <-got:
 		if made.Sub(s.Made) > 10*time.Millisecond {
-			t.Errorf("the answer tells of %s before", made.Sub(s.Made))
+			t.Errorf("the answer is %s older than the confirmation", made.Sub(s.Made))
 		}
 	case <-time.After(time.Second):
-		t.Error("the question is held although the table was confirmed")
+		t.Error("the long poll goes on although the table was confirmed")
 	}
 }
 
-// TestTurnsOfHundreds: while the store answers nobody, hundreds of entries make no more calls than
-// some tens do, and each that takes turns has one within a few seconds: with turns for all it would
-// wait for longer than routes are trusted, 41 s with 412.
-func TestTurnsOfHundreds(t *testing.T) {
+// TestTurnsAreLimitedInLargeDeployments checks that hundreds of entries make no more calls to a
+// store that is down than a few tens do, and that each entry that takes turns has one within a few
+// seconds. If all took turns, an entry would wait for longer than routes are trusted, 41 s with
+// 412 entries.
+func TestTurnsAreLimitedInLargeDeployments(t *testing.T) {
 	const each, step, away = 100 * time.Millisecond, 50 * time.Millisecond, 5 * time.Second
 	for _, entries := range []int{103, 412, 1000} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
@@ -168,24 +170,24 @@
 			now, i := time.Now(), uint64(0)
 			for _, s := range f.sources {
 				i++
-				s.now, s.random, s.lostAt = func() time.Time { return now }, rand.New(rand.NewPCG(i, 1)).Float64, now
+				s.now, s.random, s.storeFailedAt = func() time.Time { return now }, rand.New(rand.NewPCG(i, 1)).Float64, now
 				s.settings.CallEach, s.settings.RetryAfter = each, time.Hour
 			}
-			calls, had := 0, map[string]bool{}
+			calls, tookTurn := 0, map[string]bool{}
 			for range away / step {
 				now = now.Add(step)
 				for name, s := range f.sources {
-					if s.turn() {
+					if s.takeTurn() {
 						calls++
-						had[name] = true
+						tookTurn[name] = true
 					}
 				}
 			}
 			if most := int(away / each); calls > most*3/2 {
 				t.Errorf("%d calls in %s, want about %d", calls, away, most)
 			}
-			if len(had) != turnsMost {
-				t.Errorf("%d entries had a turn within %s, want those %d that take turns", len(had), away, turnsMost)
+			if len(tookTurn) != maxTurnTakers {
+				t.Errorf("%d entries had a turn within %s, want %d", len(tookTurn), away, maxTurnTakers)
 			}
 		})
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -32,7 +32,7 @@
 mutant gateway-once $gateway/call.go 's/if r\.mayHaveRun\(\) && \(!c\.rq\.route\.Repeats\(\) \|\| /if r.mayHaveRun() \&\& (/' $gateway TestPlainCall
 mutant gateway-keys $gateway/request.go 's/if !trusted && \(!ok \|\| g\.settings\.HardKeyBound\)/if !trusted \&\& !ok/' $gateway TestWhoMayAsk
 mutant gateway-unknown-keys $gateway/request.go 's/if !trusted && \(!ok \|\| g\.settings\.HardKeyBound\)/if !trusted \&\& g.settings.HardKeyBound/' $gateway TestWhoMayAsk
-mutant relay-silent-store internal/relay/store.go 's/deadline\.Sub\(s\.now\(\)\)\/2/deadline.Sub(s.now())/' internal/relay TestEntryThatStartsWhileTheStoreIsSilent
+mutant relay-silent-store internal/relay/store.go 's/deadline\.Sub\(s\.now\(\)\)\/2/deadline.Sub(s.now())/' internal/relay TestListFromPeerWhenStoreDoesNotAnswer
 mutant gateway-torn $gateway/eventreader.go 's/if n := wholeEvents\(e\.buf\[e\.start:e\.end\]\); n > 0/if n := e.end - e.start; n > 0/' $gateway TestBrokenStream
 mutant gateway-whole $gateway/relay.go 's/if errors\.Is\(err, io\.EOF\) && answer\.Framed && len\(rest\) == 0 && s\.began \{/if _ = errors.Is(err, io.EOF); s.began {/' $gateway TestBrokenStream
 mutant gateway-second-copy $gateway/move.go 's/s\.copies = append\(s\.copies, held\)/_ = append(s.copies, held)/' $gateway TestMove
@@ -59,7 +59,7 @@
 mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestStopThatIsLate
 mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerThatIsThere|TestUpstreamsFailureGoes'
 mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestFaultOfThisProgram
-mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsComeBack
+mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsRoundTrip
 mutant placement-overload-age $placement/overload.go 's/min\(ageOfShare\*share, 1\)/0*share/' internal/placement TestOverloadTells
 mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestWhoIsBlamed
 mutant gateway-copy-outlasts $gateway/move.go 's/context\.WithTimeout\(context\.Background\(\), copyWithin\)/context.WithTimeout(s.rq.caller, copyWithin)/' $gateway TestCopyThatOutlasts
@@ -69,21 +69,21 @@
 mutant placement-moved-in-time $placement/reserve.go 's/usable = min\(usable, e\.CopyRate/usable = min(usable, 1e9*e.CopyRate/' internal/placement TestUsable
 mutant wire-no-rank platform/caller.go 's/(\tif a\.From != nil \{)/\th.Set(headerPriority, "2")\n$1/' platform TestForwardAttempt
 mutant fleet-failing internal/fleet/failing.go 's/failingOver = 3/failingOver = 0/' internal/fleet TestFailing
-mutant relay-hold internal/relay/store.go 's/return min\(max\(left, holdLeast\), s\.settings\.Wait\)/_ = left\n\treturn s.settings.Wait/' internal/relay TestQuestionIsHeld
+mutant relay-hold internal/relay/store.go 's/return min\(max\(left, minLongPollWait\), s\.settings\.Wait\)/_ = left\n\treturn s.settings.Wait/' internal/relay TestLongPollEndsBeforeTableIsStale
 mutant retries-together internal/routing/window.go 's/\(lately\+1\)\*float64\(heard\) > left\+lately/lately+1 > left+lately+0*float64(heard)/' internal/routing TestEntriesTogether
 mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), keptPart\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
 mutant link-pairs internal/link/link.go 's/if p\.answersPreviousRequest\(c, req, resp\) \{/if false {/' internal/link TestRepeatedAnswerIsSkipped
 mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && openAndSilent\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionReuse'
 mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfAnEarlierLife
-mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestWhenTheDelegate
+mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestStoreCalledWhenDelegate
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.firstHand && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
 mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRoutesOnlyGoUp
 
 mutant placement-old-news $placement/spread.go 's/unheardMargin \* z\.rate/0 * z.rate/' $gateway TestOldNews
-mutant relay-hold-end internal/relay/server.go 's/\t\t\tover = true/\t\t\treturn l.encode(a, asked), nil/' internal/relay TestAnswerTellsTheLatest
-mutant relay-turns internal/relay/store.go 's/if self \|\| s\.turn\(\) \{/if self || s.turn() || true {/' internal/relay TestTurnsAtTheStore
-mutant relay-second-delegate internal/relay/store.go 's/for range maxAsked \{\n\t\tvar p Peer/for range 1 {\n\t\tvar p Peer/' internal/relay TestAnotherDelegate
-mutant relay-told-anew internal/relay/log.go 's/t\.told, t\.whole = answer\{\}, answer\{\}/t.whole = answer{}/' internal/relay TestAnswersAreEncodedOnce
+mutant relay-hold-end internal/relay/server.go 's/\t\t\tdone = true/\t\t\treturn l.encode(a, receivedAt), nil/' internal/relay TestConfirmationDuringLongPoll
+mutant relay-turns internal/relay/store.go 's/if self \|\| s\.takeTurn\(\) \{/if self || s.takeTurn() || true {/' internal/relay TestStoreCallsAreBounded
+mutant relay-second-delegate internal/relay/store.go 's/for range maxAsked \{\n\t\tvar p Peer/for range 1 {\n\t\tvar p Peer/' internal/relay TestSecondDelegate
+mutant relay-told-anew internal/relay/log.go 's/t\.cachedChanges, t\.cachedTable = reply\{\}, reply\{\}/t.cachedTable = reply{}/' internal/relay TestRepliesAreEncodedOnce
 mutant follower-pause internal/belief/follower.go 's/f\.settings\.Wait - f\.now\(\)\.Sub\(f\.confirmed\)/f.settings.Wait/' internal/belief TestPauseAfterAChange
 mutant fleet-closed internal/fleet/unreadable.go 's/ && !s\.closed\[m\.Zone\]//' internal/fleet TestClosedZone
 mutant fleet-closed-draw internal/fleet/set.go 's/m\.state == Serving && s\.mayWork\(m\)/m.state == Serving/' internal/fleet TestClosedZone
@@ -272,16 +272,16 @@
 
 spread=internal/gossip/spread.go
 members=internal/gossip/members.go
-mutant start-asks internal/relay/store.go 's/\tfor range maxAsked \{\n\t\tp, ok, _ := s\.source\(\)\n\t\tif !ok \{/\tfor range maxAsked {\n\t\tp, ok, _ := s.source()\n\t\tif ok || !ok {/' internal/relay TestStartAsksTheDelegate
-mutant start-waits internal/relay/store.go 's/\ts\.awaitListed\(ctx\)\n//' internal/relay TestStartWaitsForTheList
-mutant start-held internal/relay/server.go 's/\t\tcase <-signs\.changed:\n\t\tcase <-end\.C:\n\t\t\treturn nil, err/\t\tcase <-signs.confirmed:\n\t\tdefault:\n\t\t\treturn nil, err/' internal/relay TestStartAsksTheDelegate
+mutant start-asks internal/relay/store.go 's/\tfor range maxAsked \{\n\t\tp, ok, _ := s\.source\(\)\n\t\tif !ok \{/\tfor range maxAsked {\n\t\tp, ok, _ := s.source()\n\t\tif ok || !ok {/' internal/relay TestInitialListAsksDelegate
+mutant start-waits internal/relay/store.go 's/\ts\.awaitPeerList\(ctx\)\n//' internal/relay TestInitialListWaitsForPeers
+mutant start-held internal/relay/server.go 's/\t\tcase <-signals\.changed:\n\t\tcase <-end\.C:\n\t\t\treturn nil, err/\t\tcase <-signals.confirmed:\n\t\tdefault:\n\t\t\treturn nil, err/' internal/relay TestInitialListAsksDelegate
 mutant start-together internal/directory/begin.go 's/pause\(ctx, upTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
 mutant start-rows internal/directory/begin.go 's/\t\td\.awaitSoon\(ctx, upTo\([^\n]*\n//; s/\/\/ awaitSoon returns/var _ = (*Directory).awaitSoon\n\n\/\/ awaitSoon returns/' internal/directory TestHundredsThatStartTogether
-mutant zone-delegates internal/roster/roster.go 's/return entries > directMost/return entries < 0/' internal/relay TestWhoAsksWhom
+mutant zone-delegates internal/roster/roster.go 's/return entries > directMost/return entries < 0/' internal/relay TestRelayTopology
 mutant zone-size internal/roster/roster.go 's/cmp\.Compare\(b\.Size\.Cores, a\.Size\.Cores\), //' internal/roster TestDelegatesAreTheLargest
 mutant zone-more internal/roster/roster.go 's/\(entries\+zoneEach-1\)\/zoneEach/0*entries/' internal/roster TestWorkForOthersIsBounded
-mutant zone-confirmed internal/relay/server.go 's/case <-signs\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationIsPassedOnAtOnce
-mutant zone-turns internal/relay/turns.go 's/turnsMost = 32/turnsMost = 1 << 20/' internal/relay TestTurnsOfHundreds
+mutant zone-confirmed internal/relay/server.go 's/case <-signals\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationEndsLongPoll
+mutant zone-turns internal/relay/turns.go 's/maxTurnTakers = 32/maxTurnTakers = 1 << 20/' internal/relay TestTurnsAreLimited
 mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.UrgeEach()/' internal/gossip TestEntryThatAppears
 mutant urgent-direct $spread 's/if !n\.byZone\(\) \{/if n.byZone() || true {/' internal/gossip TestUrgentMessagesAreBounded
 mutant urgent-fallback $spread 's/\t\tn\.UrgeEach\(\)\n\t\tif n\.again\(\) \{\n\t\t\tn\.Urge\(\)\n\t\t\}/\t\t_ = n.again/' internal/gossip TestNewsThatNoDelegatePassesOn
@@ -312,9 +312,9 @@
 mutant epoch-older internal/belief/follower.go 's/case s\.Epoch != 0 && s\.Epoch < f\.epoch:/case false:/' internal/belief TestOnlyReadEpochsConfirm
 mutant epoch-again internal/belief/follower.go 's/\t\tf\.listAt = f\.settled\n//' internal/belief TestTableIsReadOnceMore
 mutant epoch-pages platform/store.go 's/if rows\.epoch != out\.Epoch \{/if false {/' platform TestReturnBetweenTwoPages
-mutant epoch-log internal/relay/log.go 's/\tif known \{\n\t\tt\.rows/\tif known \&\& false {\n\t\tt.rows/' internal/relay TestEpochsBesideAnEarlierRelease
-mutant epoch-asker internal/relay/log.go 's/case !t\.comparable\(epoch\):/case false \&\& !t.comparable(epoch):/' internal/relay TestEpochsBesideAnEarlierRelease
-mutant epoch-unstated internal/relay/log.go 's/case epoch == 0 && t\.returned:/case false:/' internal/relay TestEpochsBesideAnEarlierRelease
+mutant epoch-log internal/relay/log.go 's/\tif known \{\n\t\tt\.rows/\tif known \&\& false {\n\t\tt.rows/' internal/relay TestEpochsWithEarlierRelease
+mutant epoch-asker internal/relay/log.go 's/case !t\.versionsComparable\(epoch\):/case false \&\& !t.versionsComparable(epoch):/' internal/relay TestEpochsWithEarlierRelease
+mutant epoch-unstated internal/relay/log.go 's/case epoch == 0 && t\.restored:/case false:/' internal/relay TestEpochsWithEarlierRelease
 mutant restored-gone internal/fleet/set.go 's/stale := s\.restored && m\.state == Leaving/stale := false/' internal/fleet TestFleetAfterTheStoreWasRestored
 mutant restored-version internal/fleet/restored.go 's/m\.Version, m\.unwritten = 0, true/m.unwritten = m.unwritten || false/' internal/fleet TestFleetAfterTheStoreWasRestored
 mutant restored-next internal/fleet/starts.go 's/holds := m\.unwritten && !s\.restored/holds := false/' internal/fleet TestFleetAfterTheStoreWasRestored
