--- a/internal/lease/keep.go
+++ b/internal/lease/keep.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// renewals is how often a lease is renewed within its term.
-	renewals = 3
-	// firstRetry and lastRetry bound the pause after an error. The last one is
-	// long enough for 870 processes that come back from an outage together to
-	// stay within 100 writes a second.
-	firstRetry = 2 * time.Second
-	lastRetry  = 32 * time.Second
+	// renewalsPerTerm is the number of renewals within the term of a lease.
+	renewalsPerTerm = 3
+	// minRetryDelay and maxRetryDelay are the shortest and longest retry delay after an error. The longest
+	// delay keeps 870 processes that recover from a table outage at the same time below 100 writes a
+	// second.
+	minRetryDelay = 2 * time.Second
+	maxRetryDelay = 32 * time.Second
 )
 
-// Keep renews the lease well before its deadline until ctx ends. After an error
-// it tries again with pauses that double; all pauses are spread at random. note
-// is called after each try with whether the lease is held.
-func (l *Lease) Keep(ctx context.Context, note func(held bool, err error)) {
-	retry := firstRetry
+// Keep renews the lease well before its deadline until ctx ends. After an error it retries with
+// exponential backoff. All delays have jitter. Keep calls report after each attempt with whether the lease
+// is held and the error of the attempt.
+func (l *Lease) Keep(ctx context.Context, report func(held bool, err error)) {
+	retryDelay := minRetryDelay
 	for {
 		err := l.Renew(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		note(l.Valid(), err)
-		pause := l.settings.Term / renewals
+		report(l.Valid(), err)
+		delay := l.settings.Term / renewalsPerTerm
 		if err != nil {
-			pause = min(pause, retry)
-			retry = min(2*retry, lastRetry)
+			delay = min(delay, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		} else {
-			retry = firstRetry
+			retryDelay = minRetryDelay
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause/2 + rand.N(pause/2)):
+		case <-time.After(delay/2 + rand.N(delay/2)):
 		}
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,6 @@
-// Package lease keeps one sidecar's right to run calls that carry a caller's
-// key: a row in the table with a deadline. Of several processes that claim the
-// same upstream at most one holds it at a time, as long as clocks differ by no
-// more than the stated bound.
+// Package lease implements the lease that a sidecar needs to run calls with a caller's idempotency key.
+// The lease of an upstream is a row in the platform's table with a deadline and a fencing token. At most
+// one process holds it at a time, as long as clocks differ by no more than Settings.Skew.
 package lease
 
 import (
@@ -18,31 +17,30 @@
 // ErrHeld is returned while another process holds the lease.
 var ErrHeld = errors.New("lease is held by another process")
 
-// ErrReleased is returned after Release: a process that gave its lease back
-// does not take it again.
-var ErrReleased = errors.New("lease was given back")
+// ErrReleased is returned by Renew after Release: a process that has released its lease does not acquire it
+// again.
+var ErrReleased = errors.New("lease was released by this process")
 
 const group = "lease"
 
-// Settings are the times of a lease.
+// Settings holds the durations that govern a lease.
 type Settings struct {
 	// Term is how long a lease lasts after its last renewal.
 	Term time.Duration
-	// Skew bounds how much two clocks differ.
+	// Skew is the largest difference between the clocks of two processes.
 	Skew time.Duration
 }
 
-// row is the lease as stored.
+// row is the lease as stored in the table.
 type row struct {
 	Holder string `json:"holder"`
-	// Until is the deadline by the holder's clock, Unix milliseconds; 0 means
-	// released.
+	// Until is the deadline by the holder's clock in Unix milliseconds, 0 once the lease is released.
 	Until int64 `json:"until"`
-	// Fence grows with each new holder.
+	// Fence is the fencing token, which grows with each new holder.
 	Fence int64 `json:"fence"`
 }
 
-// Lease is one process's view of the lease of one upstream.
+// Lease is the lease of one upstream as seen by one process.
 type Lease struct {
 	table    *platform.Table
 	key      platform.Key
@@ -58,9 +56,8 @@
 	released bool
 }
 
-// New returns a lease that is not held yet. now must read the wall clock: a
-// clock that stands still while a process is suspended would make an old lease
-// look valid.
+// New returns a lease that is not held yet. now must read the wall clock: a clock that stops while the
+// process is suspended would make an expired lease look valid.
 func New(table *platform.Table, upstream, holder string, settings Settings, now func() time.Time) *Lease {
 	return &Lease{table: table, key: platform.Key{Group: group, Name: upstream}, holder: holder, settings: settings, now: now}
 }
@@ -72,61 +69,61 @@
 	return l.now().Before(l.until)
 }
 
-// Since returns the time from which no other process can have held the lease.
+// Since returns the time since which no other process can have held the lease.
 func (l *Lease) Since() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.since
 }
 
-// First reports whether there never was another holder.
+// First reports whether no other process has ever held the lease.
 func (l *Lease) First() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.first
 }
 
-// Fence returns the fencing token that goes with the lease, 0 if it was never
-// held.
+// Fence returns the fencing token of the lease, 0 if this process has never held it.
 func (l *Lease) Fence() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence
 }
 
-// Renew takes the lease or prolongs it. It returns ErrHeld while another
-// holder's deadline, with the clock bound, has not passed. A lost reply is
-// settled by reading the row again.
+// Renew acquires or renews the lease. It returns ErrHeld until the deadline of another holder, plus
+// Settings.Skew, has passed. If the reply to a write is lost, the next call reads the row again and so
+// finds out whether the write took effect.
 func (l *Lease) Renew(ctx context.Context) error {
 	if l.isReleased() {
 		return ErrReleased
 	}
 	now := l.now()
-	stored, before, err := l.read(ctx)
+	stored, previous, err := l.read(ctx)
 	if err != nil {
 		return err
 	}
-	stored = l.known(stored, now)
-	mine := stored.Holder == l.holder
+	stored = l.reconcile(stored, now)
+	renewal := stored.Holder == l.holder
 	freeAt := time.UnixMilli(stored.Until).Add(l.settings.Skew)
-	if !mine && stored.Until != 0 && now.Before(freeAt) {
+	if !renewal && stored.Until != 0 && now.Before(freeAt) {
 		return fmt.Errorf("%w: %s until %s", ErrHeld, stored.Holder, freeAt.Format(time.RFC3339))
 	}
 	next := row{Holder: l.holder, Until: now.Add(l.settings.Term).UnixMilli(), Fence: stored.Fence}
-	if !mine {
+	if !renewal {
 		next.Fence++
 	}
-	if err := l.write(ctx, next, before); err != nil {
+	if err := l.write(ctx, next, previous); err != nil {
 		return err
 	}
-	l.hold(next, before.Revision, mine, now)
+	l.setHeld(next, previous.Revision, renewal, now)
 	return nil
 }
 
-// known returns what is known of the lease. A row with an earlier fence than that of this process is
-// from a table that was restored from an older copy. While the lease is valid nobody else can have held it
-// since; otherwise a holder may have come and gone of which the table tells nothing.
-func (l *Lease) known(stored row, now time.Time) row {
+// reconcile returns the stored lease, corrected by what this process knows. A row with a lower fencing token
+// than that of this process comes from a table that was restored from an older copy. If the lease of this
+// process is still valid, no other process can have held it since, and reconcile returns that lease.
+// Otherwise another holder may be missing from the table, and reconcile keeps only the higher fencing token.
+func (l *Lease) reconcile(stored row, now time.Time) row {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if stored.Fence >= l.fence {
@@ -139,15 +136,17 @@
 	return stored
 }
 
-func (l *Lease) hold(next row, before int64, mine bool, now time.Time) {
+// setHeld records that this process has written the lease next at time now. renewal tells whether it was the
+// holder before.
+func (l *Lease) setHeld(next row, previousRevision int64, renewal bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.released {
 		return
 	}
-	if !mine || l.since.IsZero() {
+	if !renewal || l.since.IsZero() {
 		l.since = now
-		l.first = before == 0 && l.fence == 0
+		l.first = previousRevision == 0 && l.fence == 0
 	}
 	l.until = time.UnixMilli(next.Until)
 	l.fence = next.Fence
@@ -159,7 +158,7 @@
 	return l.released
 }
 
-// Release gives the lease back, so that a successor need not wait.
+// Release releases the lease for good, so that a successor need not wait for its deadline.
 func (l *Lease) Release(ctx context.Context) error {
 	l.mu.Lock()
 	held, fence := !l.until.IsZero(), l.fence
@@ -169,17 +168,17 @@
 	if !held {
 		return nil
 	}
-	stored, before, err := l.read(ctx)
+	stored, previous, err := l.read(ctx)
 	if err != nil {
 		return err
 	}
 	if stored.Holder != l.holder {
 		return nil
 	}
-	return l.write(ctx, row{Holder: l.holder, Fence: fence}, before)
+	return l.write(ctx, row{Holder: l.holder, Fence: fence}, previous)
 }
 
-// read returns the lease and its row, which are empty if there is none.
+// read returns the stored lease and its table row. Both are empty if there is no row.
 func (l *Lease) read(ctx context.Context) (row, platform.Row, error) {
 	r, err := l.table.Get(ctx, l.key)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -195,13 +194,13 @@
 	return v, r, nil
 }
 
-// write writes the lease over the row that was read.
-func (l *Lease) write(ctx context.Context, v row, before platform.Row) error {
+// write replaces the row previous with v. It fails if the row has changed since it was read.
+func (l *Lease) write(ctx context.Context, v row, previous platform.Row) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("lease %s: %w", l.key.Name, err)
 	}
-	err = l.table.Commit(ctx, platform.Write{Row: platform.Row{Key: l.key, Revision: before.Revision + 1, Value: b}, Was: before.Value})
+	err = l.table.Commit(ctx, platform.Write{Row: platform.Row{Key: l.key, Revision: previous.Revision + 1, Value: b}, Was: previous.Value})
 	if err != nil {
 		return fmt.Errorf("lease %s: %w", l.key.Name, err)
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -13,18 +13,18 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// fakeTable keeps one row and can lose a reply or be out.
+// fakeTable holds one row. It can be unavailable, or store a write and lose the reply.
 type fakeTable struct {
-	row   platform.Row
-	out   bool
-	loses int
+	row         platform.Row
+	unavailable bool
+	lostReplies int
 }
 
 func (f *fakeTable) table() *platform.Table {
 	return &platform.Table{
 		Get: func(context.Context, platform.Key) (platform.Row, error) {
 			switch {
-			case f.out:
+			case f.unavailable:
 				return platform.Row{}, platform.ErrUnknownOutcome
 			case f.row.Revision == 0:
 				return platform.Row{}, platform.ErrNotFound
@@ -34,14 +34,14 @@
 		Commit: func(_ context.Context, writes ...platform.Write) error {
 			w := writes[0].Row
 			switch {
-			case f.out:
+			case f.unavailable:
 				return platform.ErrUnknownOutcome
 			case w.Revision != f.row.Revision+1 || writes[0].Was != nil && !bytes.Equal(writes[0].Was, f.row.Value):
 				return platform.ErrConflict
 			}
 			f.row = w
-			if f.loses > 0 {
-				f.loses--
+			if f.lostReplies > 0 {
+				f.lostReplies--
 				return platform.ErrUnknownOutcome
 			}
 			return nil
@@ -51,7 +51,7 @@
 
 var settings = Settings{Term: time.Minute, Skew: time.Second}
 
-func TestSuccessorWaitsForTheEndOfTheLease(t *testing.T) {
+func TestSuccessorWaitsUntilLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTable{}
 		a := New(f.table(), "u", "a", settings, time.Now)
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestReleaseLetsASuccessorInAtOnceAndIsFinal(t *testing.T) {
+func TestReleaseIsFinalAndLetsSuccessorAcquireAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTable{}
 		a := New(f.table(), "u", "a", settings, time.Now)
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestRenewalAcrossAnOutageKeepsTheTimeSinceWhichItIsHeld(t *testing.T) {
+func TestRenewalAfterOutageKeepsTimeOfAcquisition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTable{}
 		a := New(f.table(), "u", "a", settings, time.Now)
@@ -109,47 +109,47 @@
 			t.Fatal(err)
 		}
 		since := a.Since()
-		f.out = true
+		f.unavailable = true
 		time.Sleep(2 * time.Minute)
 		if err := a.Renew(t.Context()); err == nil || a.Valid() {
 			t.Fatalf("during the outage: %v, valid %v", err, a.Valid())
 		}
-		f.out = false
+		f.unavailable = false
 		if err := a.Renew(t.Context()); err != nil || !a.Valid() || !a.Since().Equal(since) {
 			t.Errorf("after the outage: %v, valid %v, since %v, want %v", err, a.Valid(), a.Since(), since)
 		}
 	})
 }
 
-func TestLostReplyIsSettledByReadingAgain(t *testing.T) {
+func TestRenewalAfterLostReplyAcquiresLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeTable{loses: 1}
+		f := &fakeTable{lostReplies: 1}
 		a := New(f.table(), "u", "a", settings, time.Now)
 		if err := a.Renew(t.Context()); !errors.Is(err, platform.ErrUnknownOutcome) || a.Valid() {
 			t.Fatalf("lost reply: %v, valid %v", err, a.Valid())
 		}
 		time.Sleep(time.Second)
 		if err := a.Renew(t.Context()); err != nil || !a.Valid() {
-			t.Errorf("second try: %v", err)
+			t.Errorf("second attempt: %v", err)
 		}
 	})
 }
 
-// TestAllProcessesBackFromAnOutageStayWithinTheWriteBudget runs the real renewal
-// loop of 870 sidecars over a table that is out for ten minutes, and counts the
-// writes in each second after it is back.
-func TestAllProcessesBackFromAnOutageStayWithinTheWriteBudget(t *testing.T) {
+// TestRenewalsAfterOutageStayWithinWriteBudget guards against a burst of writes when the table recovers
+// and all sidecars renew their leases. It runs the renewal loop of 870 sidecars on a table that is
+// unavailable for ten minutes, and counts the writes in each second after that.
+func TestRenewalsAfterOutageStayWithinWriteBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const sidecars, budget = 870, 100
 		var mu sync.Mutex
 		rows := map[string]platform.Row{}
-		out := false
+		unavailable := false
 		perSecond := map[int64]int{}
 		table := &platform.Table{
 			Get: func(_ context.Context, k platform.Key) (platform.Row, error) {
 				mu.Lock()
 				defer mu.Unlock()
-				if out {
+				if unavailable {
 					return platform.Row{}, platform.ErrUnknownOutcome
 				}
 				r, ok := rows[k.Name]
@@ -176,21 +176,21 @@
 			start(i)
 			time.Sleep(20 * time.Millisecond)
 		}
-		set := func(v bool) {
+		setUnavailable := func(v bool) {
 			mu.Lock()
 			defer mu.Unlock()
-			out = v
+			unavailable = v
 		}
-		set(true)
+		setUnavailable(true)
 		time.Sleep(10 * time.Minute)
-		set(false)
-		healed := time.Now().Unix()
+		setUnavailable(false)
+		recoveredAt := time.Now().Unix()
 		time.Sleep(10 * time.Minute)
 		cancel()
 		wg.Wait()
 		worst, total := 0, 0
 		for second, n := range perSecond {
-			if second >= healed {
+			if second >= recoveredAt {
 				worst = max(worst, n)
 				total += n
 			}
--- a/internal/lease/restored_test.go
+++ b/internal/lease/restored_test.go
@@ -8,17 +8,18 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// A table was restored from a copy older than the lease. The holder took its lease for the first one that
-// there ever was, so a key without time of issue that had run at an earlier holder ran again; or it lost
-// the lease to a holder that is long gone, and refused keys until that one's deadline.
-func TestHolderAfterTheTableWasRestored(t *testing.T) {
+// TestHolderAfterTableRestore guards against two failures after the table is restored from a copy that is
+// older than the lease. The holder can take its lease for the first one ever, and then runs a key without
+// a time of issue again that an earlier holder has run. Or it loses the lease to an earlier holder that no
+// longer runs, and refuses keys until the deadline of that holder.
+func TestHolderAfterTableRestore(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// copied is when the table was copied.
-		copied func(beforeAll, underFirst platform.Row) platform.Row
+		// restoredRow returns the row that the copy contains.
+		restoredRow func(beforeAll, underFirst platform.Row) platform.Row
 	}{
-		{"from before the first holder", func(before, _ platform.Row) platform.Row { return before }},
-		{"from the time of the holder before", func(_, first platform.Row) platform.Row { return first }},
+		{"copy from before the first holder", func(before, _ platform.Row) platform.Row { return before }},
+		{"copy with the lease of the first holder", func(_, first platform.Row) platform.Row { return first }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -33,25 +34,26 @@
 				}
 				renew(t, b)
 				since, fence := b.Since(), b.Fence()
-				f.row = tc.copied(before, first)
-				time.Sleep(settings.Term / renewals)
+				f.row = tc.restoredRow(before, first)
+				time.Sleep(settings.Term / renewalsPerTerm)
 				renew(t, b)
 				if b.First() || !b.Since().Equal(since) || b.Fence() != fence {
-					t.Errorf("first %v, since %s later, fence %d; want the lease of before, fence %d", b.First(), b.Since().Sub(since), b.Fence(), fence)
+					t.Errorf("first %v, since %s later, fence %d; want the lease from before the restore, fence %d", b.First(), b.Since().Sub(since), b.Fence(), fence)
 				}
 				time.Sleep(settings.Term + settings.Skew)
 				c := New(f.table(), "u", "c", settings, time.Now)
 				renew(t, c)
 				if c.First() || c.Fence() <= fence {
-					t.Errorf("the next holder: first %v, fence %d, want one above %d", c.First(), c.Fence(), fence)
+					t.Errorf("next holder: first %v, fence %d, want a fence above %d", c.First(), c.Fence(), fence)
 				}
 			})
 		})
 	}
 }
 
-// A holder whose lease ran out meanwhile may have had a successor that the copy does not show.
-func TestLapsedHolderAfterTheTableWasRestored(t *testing.T) {
+// TestLapsedHolderAfterTableRestore guards against a holder that takes its expired lease up again after a
+// restore, although there may have been a successor that the copy does not contain.
+func TestLapsedHolderAfterTableRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTable{}
 		b := New(f.table(), "u", "b", settings, time.Now)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -330,7 +330,7 @@
 mutant head-content internal/rollout/restore.go 's/return c\.putObject\(ctx, cfg\.Hash\(\), cfg\.Canonical\(\)\)/return nil/' internal/rollout TestMarkOfTheHead
 mutant head-value internal/rollout/coordinator.go 's/, Was: before\.Value\}, nil/}, nil/' internal/rollout TestRevisionGivenOutAgain
 mutant lease-known internal/lease/lease.go 's/if stored\.Fence >= l\.fence \{/if true {/' internal/lease TestHolderAfter
-mutant lease-first internal/lease/lease.go 's/l\.first = before == 0 && l\.fence == 0/l.first = before == 0/' internal/lease TestLapsedHolder
+mutant lease-first internal/lease/lease.go 's/l\.first = previousRevision == 0 && l\.fence == 0/l.first = previousRevision == 0/' internal/lease TestLapsedHolder
 mutant lease-lapsed internal/lease/lease.go 's/if now\.Before\(l\.until\) \{/if true {/' internal/lease TestLapsedHolder
 
 mutant held-covered internal/quarantine/verdict.go 's/return o\.widest\(last\)/return last/' $held TestSoundRequestHeldWith
