--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config holds the configuration that operators submit: pools of
-// upstreams, models, client accounts and policies. A Config is immutable once
-// parsed; every process holds the same one, by version.
+// Package config parses and checks the configuration that operators submit: pools of upstreams, models,
+// client accounts and policies. All processes use it to look up pools, models and accounts. A Config is
+// immutable once parsed, and processes that run the same version hold the same Config.
 package config
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// PoolKind tells what stands behind a pool.
+// PoolKind is the kind of upstreams in a pool: engines or plain services.
 type PoolKind string
 
 // The kinds of pools.
@@ -20,24 +20,24 @@
 	KindService PoolKind = "service"
 )
 
-// Pool is a set of upstreams that can do the same work.
+// Pool is a set of upstreams that serve the same requests.
 type Pool struct {
 	Name      string     `yaml:"name" json:"name"`
 	Kind      PoolKind   `yaml:"kind" json:"kind"`
 	Policy    string     `yaml:"policy,omitempty" json:"policy,omitempty"`
 	Upstreams []Upstream `yaml:"upstreams" json:"upstreams"`
-	// Repeatable lists the methods of a service pool that may be run twice.
+	// Repeatable lists the HTTP methods of a service pool whose calls may run more than once.
 	Repeatable []string `yaml:"repeatable,omitempty" json:"repeatable,omitempty"`
 }
 
-// Upstream is one engine or plain service with a sidecar beside it.
+// Upstream is an engine or a plain service with its sidecar.
 type Upstream struct {
 	Name         string `yaml:"name" json:"name"`
 	Zone         string `yaml:"zone" json:"zone"`
 	ChecksOrders bool   `yaml:"checks_orders,omitempty" json:"checks_orders,omitempty"`
 }
 
-// Model maps a name that callers use to a pool and what is loaded there.
+// Model maps the model name that callers use to a pool and to the model and adapter loaded there.
 type Model struct {
 	Name    string `yaml:"name" json:"name"`
 	Pool    string `yaml:"pool" json:"pool"`
@@ -46,7 +46,7 @@
 	Version string `yaml:"version,omitempty" json:"version,omitempty"`
 }
 
-// Account is a client account. Keys are SHA-256 hashes in hexadecimal.
+// Account is a client account. KeyHashes are the SHA-256 hashes of its API keys in hexadecimal.
 type Account struct {
 	Name        string   `yaml:"name" json:"name"`
 	KeyHashes   []string `yaml:"key_hashes" json:"key_hashes"`
@@ -54,7 +54,7 @@
 	Concurrency int      `yaml:"concurrency,omitempty" json:"concurrency,omitempty"`
 }
 
-// Policy is a set of short CEL programs. An empty one stands for the default.
+// Policy is a set of short CEL programs. An empty program stands for the default.
 type Policy struct {
 	Name    string `yaml:"name" json:"name"`
 	Class   string `yaml:"class,omitempty" json:"class,omitempty"`
@@ -63,7 +63,7 @@
 	GiveWay string `yaml:"give_way,omitempty" json:"give_way,omitempty"`
 }
 
-// document is the file as operators write it.
+// document is the structure of the configuration file.
 type document struct {
 	Pools    []Pool    `yaml:"pools" json:"pools"`
 	Models   []Model   `yaml:"models" json:"models"`
@@ -71,28 +71,28 @@
 	Policies []Policy  `yaml:"policies,omitempty" json:"policies,omitempty"`
 }
 
-// Config is a checked configuration with its indexes.
+// Config is a valid configuration with indexes for look-ups.
 type Config struct {
-	source   []byte
-	form     []byte
-	hash     string
-	doc      document
-	pools    map[string]*Pool
-	models   map[string]*Model
-	accounts map[string]*Account
-	policies map[string]*Policy
-	byKey    map[string]*Account
-	poolOf   map[string]*Pool
-}
-
-// Source returns the text the operator wrote; nil if the configuration came in
-// its canonical form.
+	source    []byte
+	canonical []byte
+	hash      string
+	doc       document
+	pools     map[string]*Pool
+	models    map[string]*Model
+	accounts  map[string]*Account
+	policies  map[string]*Policy
+	byKey     map[string]*Account
+	poolOf    map[string]*Pool
+}
+
+// Source returns the text that the operator submitted, nil if the configuration was parsed from its
+// canonical form.
 func (c *Config) Source() []byte { return c.source }
 
-// Canonical returns the configuration as JSON with the field names of the
-// operators' format, so it is valid input for Parse too. Processes pass it on
-// in this form because it is parsed some thirty times faster.
-func (c *Config) Canonical() []byte { return c.form }
+// Canonical returns the configuration as JSON with the field names of the configuration file, so that
+// Parse accepts it too. Processes exchange this form because it is parsed about thirty times faster than
+// YAML.
+func (c *Config) Canonical() []byte { return c.canonical }
 
 // Hash returns the SHA-256 of the canonical form in hexadecimal.
 func (c *Config) Hash() string { return c.hash }
@@ -124,8 +124,8 @@
 // PoolOf returns the pool of the upstream called name.
 func (c *Config) PoolOf(upstream string) (*Pool, bool) { p, ok := c.poolOf[upstream]; return p, ok }
 
-// AccountOfKey returns the account that owns a client API key. The key is
-// hashed before it is looked up, and the hash compared in constant time.
+// AccountOfKey returns the account that owns a client API key. It looks up the hash of the key and
+// compares the hashes in constant time.
 func (c *Config) AccountOfKey(key string) (*Account, bool) {
 	h := HashKey(key)
 	a, ok := c.byKey[h]
@@ -146,7 +146,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// RepeatableMethod reports whether a call with the method may run twice.
+// RepeatableMethod reports whether a call with the HTTP method may run more than once.
 func (p *Pool) RepeatableMethod(method string) bool { return slices.Contains(p.Repeatable, method) }
 
 // Upstream returns the pool's upstream called name.
@@ -159,15 +159,14 @@
 	return Upstream{}, false
 }
 
-// Version numbers configurations; a process never goes to a lower one.
+// Version is the number of a configuration. A process never changes to a lower version.
 type Version int64
 
-// Mark orders what a process knows of the configuration: a higher version is
-// higher, and so is the same version once it is known to be in force
-// everywhere.
+// Mark combines a version with whether the version is accepted, which means that it is known to be active
+// in all processes. Marks are ordered by version; of one version, the accepted mark is the greater one.
 type Mark int64
 
-// MarkOf returns the mark of a version.
+// MarkOf returns the mark of version v.
 func MarkOf(v Version, accepted bool) Mark {
 	m := Mark(v) * 2
 	if accepted {
@@ -176,10 +175,10 @@
 	return m
 }
 
-// Version returns the version the mark stands for.
+// Version returns the version of the mark.
 func (m Mark) Version() Version { return Version(m / 2) }
 
-// Active is a configuration in force.
+// Active is the configuration that a process has activated, with its version.
 type Active struct {
 	version    Version
 	accepted   bool
@@ -187,14 +186,14 @@
 	cfg        *Config
 }
 
-// NewActive returns cfg as version v. homesSince is the time from which no
-// process can have run calls under another distribution of keys over upstreams.
-// accepted is set when the version is known to be in force everywhere.
+// NewActive returns cfg as the active configuration with version v. accepted tells whether the version is
+// known to be active in all processes. homesSince is the time since which no process can have run calls
+// under another assignment of keys to upstreams.
 func NewActive(cfg *Config, v Version, accepted bool, homesSince time.Time) *Active {
 	return &Active{version: v, accepted: accepted, homesSince: homesSince, cfg: cfg}
 }
 
-// Mark returns the mark of what is in force, 0 if nothing is.
+// Mark returns the mark of the active version, 0 if there is none.
 func (a *Active) Mark() Mark {
 	if a == nil {
 		return 0
@@ -202,7 +201,7 @@
 	return MarkOf(a.version, a.accepted)
 }
 
-// Version returns the version in force, 0 if none is.
+// Version returns the active version, 0 if there is none.
 func (a *Active) Version() Version {
 	if a == nil {
 		return 0
@@ -210,21 +209,22 @@
 	return a.version
 }
 
-// Accepted reports whether the version is known to be in force everywhere.
+// Accepted reports whether the version is known to be active in all processes.
 func (a *Active) Accepted() bool { return a != nil && a.accepted }
 
-// Config returns the configuration in force.
+// Config returns the active configuration.
 func (a *Active) Config() *Config { return a.cfg }
 
-// HomesSince returns the time from which keys have the homes they have now.
+// HomesSince returns the time since which idempotency keys have had their present homes. The home of a
+// key is the upstream that runs the calls with this key.
 func (a *Active) HomesSince() time.Time { return a.homesSince }
 
-// SameHomes reports whether every caller's key has the same home in both
-// configurations.
+// SameHomes reports whether every idempotency key has the same home upstream in both configurations.
 func SameHomes(a, b *Config) bool {
 	return slices.Equal(homeNames(a), homeNames(b))
 }
 
+// homeNames returns the names, sorted, of all upstreams of service pools, on which the homes of keys depend.
 func homeNames(c *Config) []string {
 	var names []string
 	for _, p := range c.doc.Pools {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -19,7 +19,7 @@
 // ErrInvalid is wrapped by every error about the content of a configuration.
 var ErrInvalid = errors.New("invalid configuration")
 
-// Fault is one thing wrong with a configuration file.
+// Fault is an error at one place of a configuration file.
 type Fault struct {
 	file  string
 	line  int
@@ -27,15 +27,15 @@
 	text  string
 }
 
-// Error returns file, line, field and what is wrong.
+// Error returns the file, line and field of the error and its description.
 func (f Fault) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.field, f.text)
 }
 
-// Faults is every thing wrong with a configuration file.
+// Faults lists all errors found in a configuration file.
 type Faults []Fault
 
-// Error returns one fault a line.
+// Error returns the errors, one on each line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -44,7 +44,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap makes errors.Is(err, ErrInvalid) true.
+// Unwrap returns ErrInvalid, so that errors.Is recognizes Faults.
 func (f Faults) Unwrap() error { return ErrInvalid }
 
 const (
@@ -52,10 +52,10 @@
 	maxNameBytes = 64
 )
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]*$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]*$`)
 
-// Parse reads and checks a configuration; file names it in errors. The error
-// is a Faults value that lists everything found.
+// Parse parses and checks a configuration in YAML. file is the file name that errors contain. The error is
+// a Faults value with all errors found.
 func Parse(file string, source []byte) (*Config, error) {
 	c := &Config{source: source}
 	if err := yaml.UnmarshalWithOptions(source, &c.doc, yaml.Strict()); err != nil {
@@ -68,9 +68,8 @@
 	return c.finish(form, &checker{file: file, source: source})
 }
 
-// ParseCanonical reads and checks the canonical form. Fields that this build
-// does not know are refused, so an older process never half-understands a
-// configuration.
+// ParseCanonical parses and checks the canonical form. It rejects fields that this build does not know, so
+// that an older process never applies only a part of a configuration.
 func ParseCanonical(form []byte) (*Config, error) {
 	c := &Config{}
 	d := json.NewDecoder(bytes.NewReader(form))
@@ -81,9 +80,10 @@
 	return c.finish(form, &checker{file: "canonical", source: form})
 }
 
+// finish builds the indexes of c and checks its content.
 func (c *Config) finish(form []byte, k *checker) (*Config, error) {
 	sum := sha256.Sum256(form)
-	c.form, c.hash = form, hex.EncodeToString(sum[:])
+	c.canonical, c.hash = form, hex.EncodeToString(sum[:])
 	c.index()
 	k.check(c)
 	if len(k.faults) > 0 {
@@ -134,26 +134,28 @@
 	}
 }
 
+// checker checks the content of a configuration and collects the errors.
 type checker struct {
 	file   string
 	source []byte
-	// root is parsed when the first fault needs a line number.
+	// root is the syntax tree of source. It is parsed when the first error needs a line number.
 	root   *ast.File
 	faults Faults
 }
 
-// tree returns the syntax tree of the source, nil if it has none.
-func (k *checker) tree() *ast.File {
+// syntaxTree returns the syntax tree of the source, nil if the source cannot be parsed.
+func (k *checker) syntaxTree() *ast.File {
 	if k.root == nil {
 		k.root, _ = parser.ParseBytes(k.source, 0)
 	}
 	return k.root
 }
 
-func (k *checker) fault(path, format string, args ...any) {
+// addFault adds an error about the field at a YAML path.
+func (k *checker) addFault(path, format string, args ...any) {
 	f := Fault{file: k.file, field: strings.TrimPrefix(path, "$."), text: fmt.Sprintf(format, args...)}
-	if p, err := yaml.PathString(path); err == nil && k.tree() != nil {
-		if n, err := p.FilterFile(k.tree()); err == nil {
+	if p, err := yaml.PathString(path); err == nil && k.syntaxTree() != nil {
+		if n, err := p.FilterFile(k.syntaxTree()); err == nil {
 			f.line = n.GetToken().Position.Line
 		}
 	}
@@ -170,36 +172,36 @@
 
 func (k *checker) name(path, name string, seen map[string]bool) {
 	switch {
-	case len(name) > maxNameBytes || !nameForm.MatchString(name):
-		k.fault(path, "name %q must match %s and have at most %d bytes", name, nameForm, maxNameBytes)
+	case len(name) > maxNameBytes || !namePattern.MatchString(name):
+		k.addFault(path, "name %q must match %s and have at most %d bytes", name, namePattern, maxNameBytes)
 	case seen[name]:
-		k.fault(path, "name %q is used twice", name)
+		k.addFault(path, "name %q is used twice", name)
 	}
 	seen[name] = true
 }
 
 func (k *checker) pools(c *Config) {
 	if len(c.doc.Pools) == 0 {
-		k.fault("$.pools", "at least one pool is needed")
+		k.addFault("$.pools", "at least one pool is needed")
 	}
 	names, upstreams := map[string]bool{}, map[string]bool{}
 	for i, p := range c.doc.Pools {
 		path := fmt.Sprintf("$.pools[%d]", i)
 		k.name(path+".name", p.Name, names)
 		if p.Kind != KindEngine && p.Kind != KindService {
-			k.fault(path+".kind", "kind %q must be %q or %q", p.Kind, KindEngine, KindService)
+			k.addFault(path+".kind", "kind %q must be %q or %q", p.Kind, KindEngine, KindService)
 		}
 		if p.Policy != "" && c.policies[p.Policy] == nil {
-			k.fault(path+".policy", "policy %q is not declared", p.Policy)
+			k.addFault(path+".policy", "policy %q is not declared", p.Policy)
 		}
 		if len(p.Upstreams) == 0 {
-			k.fault(path+".upstreams", "pool %q has no upstream", p.Name)
+			k.addFault(path+".upstreams", "pool %q has no upstream", p.Name)
 		}
 		for j, u := range p.Upstreams {
-			at := fmt.Sprintf("%s.upstreams[%d]", path, j)
-			k.name(at+".name", u.Name, upstreams)
+			upstreamPath := fmt.Sprintf("%s.upstreams[%d]", path, j)
+			k.name(upstreamPath+".name", u.Name, upstreams)
 			if u.Zone == "" {
-				k.fault(at+".name", "upstream %q has no zone", u.Name)
+				k.addFault(upstreamPath+".name", "upstream %q has no zone", u.Name)
 			}
 		}
 	}
@@ -212,34 +214,34 @@
 		k.name(path+".name", m.Name, names)
 		p := c.pools[m.Pool]
 		if p == nil {
-			k.fault(path+".pool", "pool %q is not declared", m.Pool)
+			k.addFault(path+".pool", "pool %q is not declared", m.Pool)
 		} else if p.Kind != KindEngine {
-			k.fault(path+".pool", "pool %q is no engine pool", m.Pool)
+			k.addFault(path+".pool", "pool %q is no engine pool", m.Pool)
 		}
 	}
 }
 
 func (k *checker) accounts(c *Config) {
 	if len(c.doc.Accounts) > maxAccounts {
-		k.fault("$.accounts", "%d accounts are more than %d", len(c.doc.Accounts), maxAccounts)
+		k.addFault("$.accounts", "%d accounts are more than %d", len(c.doc.Accounts), maxAccounts)
 	}
 	names, keys := map[string]bool{}, map[string]bool{}
 	for i, a := range c.doc.Accounts {
 		path := fmt.Sprintf("$.accounts[%d]", i)
 		k.name(path+".name", a.Name, names)
 		if a.Weight < 0 {
-			k.fault(path+".weight", "weight %v is negative", a.Weight)
+			k.addFault(path+".weight", "weight %v is negative", a.Weight)
 		}
 		if a.Concurrency < 0 {
-			k.fault(path+".concurrency", "concurrency %d is negative", a.Concurrency)
+			k.addFault(path+".concurrency", "concurrency %d is negative", a.Concurrency)
 		}
 		for j, h := range a.KeyHashes {
-			at := fmt.Sprintf("%s.key_hashes[%d]", path, j)
+			hashPath := fmt.Sprintf("%s.key_hashes[%d]", path, j)
 			if b, err := hex.DecodeString(h); err != nil || len(b) != sha256.Size {
-				k.fault(at, "%q is no SHA-256 in hexadecimal", h)
+				k.addFault(hashPath, "%q is no SHA-256 in hexadecimal", h)
 			}
 			if keys[h] {
-				k.fault(at, "key hash is used twice")
+				k.addFault(hashPath, "key hash is used twice")
 			}
 			keys[h] = true
 		}
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAccountOfKeyKnowsOnlyDeclaredKeys(t *testing.T) {
+func TestAccountOfKeyFindsOnlyDeclaredKeys(t *testing.T) {
 	source := "pools: [{name: p, kind: engine, upstreams: [{name: u, zone: a}]}]\n" +
 		"models: []\naccounts: [{name: a, key_hashes: [" + HashKey("secret") + "]}]\n"
 	c, err := Parse("t", []byte(source))
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestCanonicalFormMeansTheSame(t *testing.T) {
+func TestCanonicalFormParsesToSameConfig(t *testing.T) {
 	source, err := os.ReadFile("testdata/good.yaml")
 	if err != nil {
 		t.Fatal(err)
