--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,7 @@
-// Package policy compiles the short CEL programs by which operators say who
-// goes first, who waits, who is refused and who gives way. A policy is checked
-// for types and cost once, when a configuration is staged; a failure at run time
-// falls back to a stated default and is counted.
+// Package policy compiles and runs the short CEL programs by which operators control the admission,
+// the queue order and the pausing of requests on an engine. Types and cost of a program are checked once,
+// when a configuration is staged. If a program fails at run time, the default applies, and the verdict
+// names the program so that the caller can count the failure.
 package policy
 
 import (
@@ -17,43 +17,43 @@
 	"github.com/sparshore/sparshore/internal/config"
 )
 
-// ErrCompile is wrapped by errors about a policy's text.
+// ErrCompile is wrapped by all errors about the source of a policy.
 var ErrCompile = errors.New("policy does not compile")
 
-// maxCost bounds a program's estimated cost in CEL's own units, so that no
-// policy can hold up the decision.
+// maxCost is the highest cost that CEL may estimate for a program, in CEL's cost units, so that no policy
+// delays decisions.
 const maxCost = 1000
 
-// Input is what a policy can see.
+// Input holds the values that a policy can read.
 type Input struct {
 	Model     string
 	Prompt    int
 	MaxTokens int
 	Account   string
 	Weight    float64
-	// UsedPart is the part of the engine's memory in use, from 0 to 1.
+	// UsedPart is the fraction of the engine's memory in use, from 0 to 1.
 	UsedPart float64
 	Running  int
 	Waiting  int
-	// Hour is the hour of the day, 0 to 23, UTC.
+	// Hour is the hour of the day in UTC, 0 to 23.
 	Hour int
 }
 
-// Verdict is what a policy says about a request.
+// Verdict is the decision of a policy on a request.
 type Verdict struct {
-	// Class names the length curve.
+	// Class names the curve of expected output lengths.
 	Class string
-	// Rank orders the queue, lower first.
+	// Rank is the position in the queue: requests with a lower rank come first.
 	Rank float64
-	// Admit is false for a request that is refused at once.
+	// Admit is false if the request is to be refused at once.
 	Admit bool
 	// GiveWay multiplies the cost of pausing the stream.
 	GiveWay float64
-	// Failed names the programs that failed and were replaced by the default.
+	// Failed names the programs that failed, for which the default was used.
 	Failed []string
 }
 
-// The names of the programs and their result types.
+// The names of the programs, which are also their keys in the configuration.
 const (
 	programClass   = "class"
 	programRank    = "rank"
@@ -61,13 +61,13 @@
 	programGiveWay = "give_way"
 )
 
-// program is one compiled program; nil stands for the default.
+// program is one compiled CEL program. A nil program stands for the default.
 type program struct {
 	name string
 	run  cel.Program
 }
 
-// Policy is a compiled policy.
+// Policy is a compiled policy. A nil Policy decides by the default.
 type Policy struct {
 	name    string
 	class   *program
@@ -76,8 +76,8 @@
 	giveWay *program
 }
 
-// variables are flat: an activation over a few scalars costs a third of one
-// over nested maps.
+// variables lists the variables of a program. They are scalars without nesting, since evaluation over
+// nested maps costs three times as much.
 var variables = []struct {
 	name string
 	kind *cel.Type
@@ -101,7 +101,7 @@
 	return cel.NewEnv(opts...)
 }
 
-// Compile checks a policy's programs for types and cost.
+// Compile compiles the programs of a policy and checks their types and cost.
 func Compile(p *config.Policy) (*Policy, error) {
 	env, err := newEnv()
 	if err != nil {
@@ -109,17 +109,17 @@
 	}
 	out := &Policy{name: p.Name}
 	for _, item := range []struct {
-		name string
-		text string
-		kind *cel.Type
-		into **program
+		name   string
+		text   string
+		kind   *cel.Type
+		target **program
 	}{
 		{programClass, p.Class, cel.StringType, &out.class},
 		{programRank, p.Rank, cel.DoubleType, &out.rank},
 		{programAdmit, p.Admit, cel.BoolType, &out.admit},
 		{programGiveWay, p.GiveWay, cel.DoubleType, &out.giveWay},
 	} {
-		if *item.into, err = compile(env, item.name, item.text, item.kind); err != nil {
+		if *item.target, err = compile(env, item.name, item.text, item.kind); err != nil {
 			return nil, fmt.Errorf("policy %s, %s: %w", p.Name, item.name, err)
 		}
 	}
@@ -137,7 +137,7 @@
 	if !ast.OutputType().IsExactType(kind) {
 		return nil, fmt.Errorf("%w: it gives %s, want %s", ErrCompile, ast.OutputType(), kind)
 	}
-	cost, err := env.EstimateCost(ast, sizes{})
+	cost, err := env.EstimateCost(ast, inputSizes{})
 	if err != nil {
 		return nil, fmt.Errorf("%w: cost: %v", ErrCompile, err)
 	}
@@ -151,25 +151,26 @@
 	return &program{name: name, run: run}, nil
 }
 
-// maxText bounds the strings that a policy sees, for the cost estimate.
-const maxText = 64
+// maxTextLength is the longest string that the cost estimate assumes for a variable.
+const maxTextLength = 64
 
-type sizes struct{}
+// inputSizes tells CEL the sizes of variables for its cost estimate.
+type inputSizes struct{}
 
-// EstimateSize bounds the size of all variables.
-func (sizes) EstimateSize(checker.AstNode) *checker.SizeEstimate {
-	return &checker.SizeEstimate{Min: 0, Max: maxText}
+// EstimateSize returns the same size range for all variables.
+func (inputSizes) EstimateSize(checker.AstNode) *checker.SizeEstimate {
+	return &checker.SizeEstimate{Min: 0, Max: maxTextLength}
 }
 
-// EstimateCallCost leaves all functions at their usual cost.
-func (sizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
+// EstimateCallCost returns nil, so that CEL uses its default cost for all functions.
+func (inputSizes) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
-// activation gives programs their variables without a map.
+// activation resolves the variables of a program from an Input, without building a map.
 type activation struct{ in *Input }
 
-// ResolveName returns the variable called name.
+// ResolveName returns the value of the variable called name.
 func (a activation) ResolveName(name string) (any, bool) {
 	switch name {
 	case "request_model":
@@ -195,40 +196,42 @@
 	}
 }
 
-// Parent returns nil: there is no outer scope.
+// Parent returns nil, since there is no outer scope.
 func (activation) Parent() cel.Activation { return nil }
 
-// Default is the verdict of an empty policy.
+// Default returns the verdict of an empty policy.
 func Default(in Input) Verdict {
 	return Verdict{Class: in.Model, Admit: true, GiveWay: 1}
 }
 
-// Decide runs the policy. A nil policy gives the default.
+// Decide runs the policy on a request. A nil policy returns the default verdict.
 func (p *Policy) Decide(in Input) Verdict {
 	v := Default(in)
 	if p == nil {
 		return v
 	}
 	act := activation{&in}
-	if s, ok := value[types.String](p.class, act, &v); ok {
+	if s, ok := evaluate[types.String](p.class, act, &v); ok {
 		v.Class = string(s)
 	}
-	if d, ok := value[types.Double](p.rank, act, &v); ok {
+	if d, ok := evaluate[types.Double](p.rank, act, &v); ok {
 		v.Rank = float64(d)
 	}
-	if b, ok := value[types.Bool](p.admit, act, &v); ok {
+	if b, ok := evaluate[types.Bool](p.admit, act, &v); ok {
 		v.Admit = bool(b)
 	}
-	if d, ok := value[types.Double](p.giveWay, act, &v); ok {
+	if d, ok := evaluate[types.Double](p.giveWay, act, &v); ok {
 		v.GiveWay = max(float64(d), minGiveWay)
 	}
 	return v
 }
 
-// minGiveWay keeps a policy from making a stream free to pause.
+// minGiveWay is the lowest GiveWay of a verdict. At 0, pausing the stream would cost nothing.
 const minGiveWay = 0.01
 
-func value[T ref.Val](p *program, act activation, v *Verdict) (T, bool) {
+// evaluate runs p and returns its result, and false if p is nil or fails. It adds a program that fails to
+// v.Failed.
+func evaluate[T ref.Val](p *program, act activation, v *Verdict) (T, bool) {
 	var none T
 	if p == nil {
 		return none, false
@@ -242,7 +245,7 @@
 	return t, ok
 }
 
-// Set is the compiled policies of a configuration, by name.
+// Set holds the compiled policies of a configuration by name.
 type Set map[string]*Policy
 
 // CompileAll compiles every policy of a configuration.
@@ -259,5 +262,5 @@
 	return out, nil
 }
 
-// HourOf returns the hour that policies see for a time.
+// HourOf returns the hour of the day in UTC, for Input.Hour.
 func HourOf(t time.Time) int { return t.UTC().Hour() }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -14,29 +14,29 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func TestCompileRefuses(t *testing.T) {
+func TestCompileRejectsInvalidPrograms(t *testing.T) {
 	tests := []struct {
 		name   string
 		policy config.Policy
 		want   string
 	}{
-		{"an unknown variable", config.Policy{Rank: "request_length * 1.0"}, "undeclared reference"},
-		{"a wrong type", config.Policy{Admit: "1"}, "it gives int, want bool"},
-		{"mixed numbers", config.Policy{Rank: "request_prompt * 1.0"}, "no matching overload"},
-		{"a costly program", config.Policy{Admit: "[1,2,3,4,5,6,7,8,9].all(a, [1,2,3,4,5,6,7,8,9].all(b, [1,2,3,4,5,6,7,8,9].all(c, a + b + c < hour)))"}, "the limit is 1000"},
-		{"a syntax error", config.Policy{Class: "'a' +"}, "Syntax error"},
+		{"unknown variable", config.Policy{Rank: "request_length * 1.0"}, "undeclared reference"},
+		{"wrong result type", config.Policy{Admit: "1"}, "it gives int, want bool"},
+		{"int multiplied by double", config.Policy{Rank: "request_prompt * 1.0"}, "no matching overload"},
+		{"cost above the limit", config.Policy{Admit: "[1,2,3,4,5,6,7,8,9].all(a, [1,2,3,4,5,6,7,8,9].all(b, [1,2,3,4,5,6,7,8,9].all(c, a + b + c < hour)))"}, "the limit is 1000"},
+		{"syntax error", config.Policy{Class: "'a' +"}, "Syntax error"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := Compile(&tt.policy)
 			if !errors.Is(err, ErrCompile) || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("err = %v, want one with %q", err, tt.want)
+				t.Errorf("err = %v, want an ErrCompile with %q", err, tt.want)
 			}
 		})
 	}
 }
 
-func TestRunTimeFailureFallsBackToTheDefault(t *testing.T) {
+func TestRunTimeFailureFallsBackToDefault(t *testing.T) {
 	p, err := Compile(&config.Policy{Name: "p", Rank: "double(100 / request_max_tokens)", Class: "'short'"})
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestEmptyPolicyIsTheDefault(t *testing.T) {
+func TestNilPolicyDecidesByDefault(t *testing.T) {
 	var none *Policy
 	in := Input{Model: "m"}
 	if v := none.Decide(in); v.Class != "m" || !v.Admit || v.GiveWay != 1 {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestShippedExamples runs the two teams' policies over sample requests and
-// compares with golden files.
+// TestShippedExamples runs the two example policies on sample requests and compares the verdicts with
+// golden files.
 func TestShippedExamples(t *testing.T) {
 	files, err := filepath.Glob("../../examples/policy-*.yaml")
 	if err != nil || len(files) != 2 {
