--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -21,21 +21,23 @@
 )
 
 func (e *Entry) adminRoutes(r *mux.Router) {
-	r.HandleFunc("/status", e.operator(e.adminStatus)).Methods(http.MethodGet)
-	r.HandleFunc("/config", e.operator(e.adminConfig)).Methods(http.MethodGet)
-	r.HandleFunc("/config", e.operator(e.adminApply)).Methods(http.MethodPost)
-	r.HandleFunc("/changes/{id}", e.operator(e.adminChange)).Methods(http.MethodGet)
-	r.HandleFunc("/drain/{upstream}", e.operator(e.adminDrain)).Methods(http.MethodPost)
-	r.HandleFunc("/quarantine", e.operator(e.adminQuarantine)).Methods(http.MethodGet)
-	r.HandleFunc("/quarantine/{fingerprint}", e.operator(e.quarantine.ServeLift)).Methods(http.MethodDelete)
-	r.HandleFunc("/timeline", e.operator(e.adminTimeline)).Methods(http.MethodGet)
+	r.HandleFunc("/status", e.requireOperator(e.adminStatus)).Methods(http.MethodGet)
+	r.HandleFunc("/config", e.requireOperator(e.adminConfig)).Methods(http.MethodGet)
+	r.HandleFunc("/config", e.requireOperator(e.adminApply)).Methods(http.MethodPost)
+	r.HandleFunc("/changes/{id}", e.requireOperator(e.adminChange)).Methods(http.MethodGet)
+	r.HandleFunc("/drain/{upstream}", e.requireOperator(e.adminDrain)).Methods(http.MethodPost)
+	r.HandleFunc("/quarantine", e.requireOperator(e.adminQuarantine)).Methods(http.MethodGet)
+	r.HandleFunc("/quarantine/{fingerprint}", e.requireOperator(e.quarantine.ServeLift)).Methods(http.MethodDelete)
+	r.HandleFunc("/timeline", e.requireOperator(e.adminTimeline)).Methods(http.MethodGet)
 }
 
+// operatorHandler serves a request of the operator with the given name.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, operator string)
 
-// operator checks the operator's token. All known hashes are compared, each in
-// constant time.
-func (e *Entry) operator(h operatorHandler) http.HandlerFunc {
+// requireOperator returns a handler that calls h only for requests with a valid operator token. It compares
+// the token's hash with all known hashes, each in constant time, so that the duration does not depend on
+// the token.
+func (e *Entry) requireOperator(h operatorHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		sum := sha256.Sum256([]byte(bearer(r)))
 		got := hex.EncodeToString(sum[:])
@@ -53,7 +55,7 @@
 	}
 }
 
-// peerStatus is one process in the status page.
+// peerStatus is the state of one process in the answer to a status request.
 type peerStatus struct {
 	VM          string          `json:"vm"`
 	Zone        string          `json:"zone"`
@@ -87,7 +89,7 @@
 		i, l := p.Identity(), p.Load()
 		out.Peers = append(out.Peers, peerStatus{
 			VM: p.VMName(), Zone: p.VMZone(), Address: p.Address(), Role: i.Role(), Upstream: i.Upstream(),
-			Incarnation: i.Incarnation(), State: stateOf(p), Version: p.Mark().Version(),
+			Incarnation: i.Incarnation(), State: peerState(p), Version: p.Mark().Version(),
 			Running: l.Running, Waiting: l.Waiting, Paused: l.Paused, UsedPart: l.UsedPart(),
 		})
 	}
@@ -98,7 +100,8 @@
 	e.quarantine.ServeList(w, r)
 }
 
-func stateOf(p *membership.Peer) string {
+// peerState returns the state of a peer as seen by this process.
+func peerState(p *membership.Peer) string {
 	switch {
 	case p.Leaving():
 		return "leaving"
@@ -150,10 +153,10 @@
 	}
 	var b applyBody
 	if err := json.Unmarshal(raw, &b); err != nil || b.Change == "" {
-		writeJSON(w, http.StatusBadRequest, errBadBody.with("change, base and source are needed").body(""))
+		writeJSON(w, http.StatusBadRequest, errBadBody.withMessage("change, base and source are needed").body(""))
 		return
 	}
-	// The operator may go away; the change does not stop half way.
+	// The rollout of a submitted change continues when the operator disconnects.
 	ctx := context.WithoutCancel(r.Context())
 	out := e.coord.Submit(ctx, rollout.Change{ID: b.Change, By: operator, Base: b.Base, Source: []byte(b.Source)})
 	status := http.StatusOK
@@ -169,7 +172,7 @@
 func (e *Entry) adminChange(w http.ResponseWriter, r *http.Request, _ string) {
 	out, err := e.coord.Status(r.Context(), mux.Vars(r)["id"])
 	if err != nil {
-		writeJSON(w, http.StatusServiceUnavailable, errNoUpstream.with(err.Error()).body(""))
+		writeJSON(w, http.StatusServiceUnavailable, errNoUpstream.withMessage(err.Error()).body(""))
 		return
 	}
 	writeJSON(w, http.StatusOK, outcomeOf(out))
@@ -179,11 +182,11 @@
 	name := mux.Vars(r)["upstream"]
 	p, ok := e.set.Upstream(name)
 	if !ok {
-		writeJSON(w, http.StatusNotFound, errNoUpstream.with(fmt.Sprintf("upstream %q cannot be reached", name)).body(""))
+		writeJSON(w, http.StatusNotFound, errNoUpstream.withMessage(fmt.Sprintf("upstream %q cannot be reached", name)).body(""))
 		return
 	}
 	if err := e.client.Drain(r.Context(), p, operator); err != nil {
-		writeJSON(w, http.StatusBadGateway, errNoUpstream.with(err.Error()).body(""))
+		writeJSON(w, http.StatusBadGateway, errNoUpstream.withMessage(err.Error()).body(""))
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
@@ -194,6 +197,7 @@
 	Unreachable []string       `json:"unreachable"`
 }
 
+// timelineTimeout bounds the collection of events from all processes.
 const timelineTimeout = 3 * time.Second
 
 func (e *Entry) adminTimeline(w http.ResponseWriter, r *http.Request, _ string) {
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -20,22 +20,22 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// shape is one of the two forms of the OpenAI completion API.
-type shape struct {
-	path        string
-	idPrefix    string
-	chunkObject string
-	wholeObject string
-	inputField  string
+// completionAPI describes one of the two completion endpoints of the OpenAI API.
+type completionAPI struct {
+	path           string
+	idPrefix       string
+	chunkObject    string
+	responseObject string
+	inputField     string
 }
 
 var (
-	chatShape = shape{"/v1/chat/completions", "chatcmpl-", "chat.completion.chunk", "chat.completion", "messages"}
-	textShape = shape{"/v1/completions", "cmpl-", "text_completion", "text_completion", "prompt"}
+	chatAPI = completionAPI{"/v1/chat/completions", "chatcmpl-", "chat.completion.chunk", "chat.completion", "messages"}
+	textAPI = completionAPI{"/v1/completions", "cmpl-", "text_completion", "text_completion", "prompt"}
 )
 
-// completionRequest is what the entry itself reads of a caller's body; the
-// rest goes to the engine as it is.
+// completionRequest holds the fields of a caller's body that the entry reads. The other fields go to the
+// engine unchanged.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -49,13 +49,14 @@
 	} `json:"stream_options"`
 }
 
-// bytesPerToken turns the size of the input into an estimate of its tokens.
+// bytesPerToken is the size of a token that promptTokens assumes to estimate the length of the input.
 const bytesPerToken = 4
 
 func (c completionRequest) promptTokens() int {
 	return (len(c.Messages)+len(c.Prompt))/bytesPerToken + 1
 }
 
+// maxTokens returns the limit on output tokens, 0 if the request has none.
 func (c completionRequest) maxTokens() int {
 	n := 0
 	for _, m := range []*int{c.MaxTokens, c.MaxCompletionTokens} {
@@ -66,42 +67,43 @@
 	return n
 }
 
-func parseCompletion(body []byte, s shape) (completionRequest, *apiError) {
+func parseCompletion(body []byte, api completionAPI) (completionRequest, *apiError) {
 	var c completionRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) {
-			return c, errBadBody.with(fmt.Sprintf("%s must not be a JSON %s", wrong.Field, wrong.Value)).about(wrong.Field)
+			return c, errBadBody.withMessage(fmt.Sprintf("%s must not be a JSON %s", wrong.Field, wrong.Value)).withParam(wrong.Field)
 		}
-		return c, errBadBody.with("the request body is no JSON object: " + err.Error())
+		return c, errBadBody.withMessage("the request body is no JSON object: " + err.Error())
 	}
-	return c, c.check(s)
+	return c, c.check(api)
 }
 
-func (c completionRequest) check(s shape) *apiError {
+// check returns an error for a field that is missing or invalid.
+func (c completionRequest) check(api completionAPI) *apiError {
 	input := c.Messages
-	if s.inputField == "prompt" {
+	if api.inputField == "prompt" {
 		input = c.Prompt
 	}
 	switch {
 	case c.Model == "":
-		return errBadBody.with("you must provide a model").about("model")
+		return errBadBody.withMessage("you must provide a model").withParam("model")
 	case len(input) == 0 || string(input) == "null":
-		return errBadBody.with("you must provide " + s.inputField).about(s.inputField)
-	case s.inputField == "messages" && input[0] != '[':
-		return errBadBody.with("messages must be an array").about("messages")
+		return errBadBody.withMessage("you must provide " + api.inputField).withParam(api.inputField)
+	case api.inputField == "messages" && input[0] != '[':
+		return errBadBody.withMessage("messages must be an array").withParam("messages")
 	case c.N != nil && *c.N != 1:
-		return errBadBody.with("n must be 1").about("n")
+		return errBadBody.withMessage("n must be 1").withParam("n")
 	case c.MaxTokens != nil && *c.MaxTokens < 1:
-		return errBadBody.with("max_tokens must be at least 1").about("max_tokens")
+		return errBadBody.withMessage("max_tokens must be at least 1").withParam("max_tokens")
 	case c.MaxCompletionTokens != nil && *c.MaxCompletionTokens < 1:
-		return errBadBody.with("max_completion_tokens must be at least 1").about("max_completion_tokens")
+		return errBadBody.withMessage("max_completion_tokens must be at least 1").withParam("max_completion_tokens")
 	default:
 		return nil
 	}
 }
 
-// engineBody is the caller's body with streaming and usage turned on.
+// engineBody returns the caller's body with streaming and usage reports turned on.
 func engineBody(body []byte) (json.RawMessage, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -112,10 +114,10 @@
 	return json.Marshal(fields)
 }
 
-// job is one completion on its way.
+// job is a completion request in progress.
 type job struct {
 	callerRequest
-	shape   shape
+	api     completionAPI
 	req     completionRequest
 	pool    *config.Pool
 	body    []byte
@@ -124,18 +126,20 @@
 	run     *quarantine.Run
 }
 
-func (e *Entry) completions(s shape) callerHandler {
+// completions returns the handler for a completion endpoint. A request with a Last-Event-ID header resumes
+// a stream.
+func (e *Entry) completions(api completionAPI) callerHandler {
 	return func(w http.ResponseWriter, r callerRequest) {
 		if id := r.Header.Get("Last-Event-ID"); id != "" {
-			e.resumeStream(w, r, s, id)
+			e.resumeStream(w, r, api, id)
 			return
 		}
-		j, apiErr := e.newJob(w, r, s)
+		j, apiErr := e.newJob(w, r, api)
 		if apiErr != nil {
 			e.refuse(w, r.id, apiErr, time.Time{})
 			return
 		}
-		run, ok := e.enterRun(w, r, s.path, j.body)
+		run, ok := e.enterQuarantine(w, r, api.path, j.body)
 		if !ok {
 			return
 		}
@@ -145,147 +149,150 @@
 	}
 }
 
-func (e *Entry) newJob(w http.ResponseWriter, r callerRequest, s shape) (*job, *apiError) {
+func (e *Entry) newJob(w http.ResponseWriter, r callerRequest, api completionAPI) (*job, *apiError) {
 	body, apiErr := e.readBody(w, r.Request)
 	if apiErr != nil {
 		return nil, apiErr
 	}
-	req, apiErr := parseCompletion(body, s)
+	req, apiErr := parseCompletion(body, api)
 	if apiErr != nil {
 		return nil, apiErr
 	}
 	model, ok := r.active.Config().Model(req.Model)
 	if !ok {
-		return nil, errNoModel.with(fmt.Sprintf("the model %q does not exist", req.Model))
+		return nil, errNoModel.withMessage(fmt.Sprintf("the model %q does not exist", req.Model))
 	}
 	pool, _ := r.active.Config().Pool(model.Pool)
 	full, err := engineBody(body)
 	if err != nil {
-		return nil, errBadBody.with(err.Error())
+		return nil, errBadBody.withMessage(err.Error())
 	}
 	return &job{
-		callerRequest: r, shape: s, req: req, pool: pool, body: body, created: e.now().Unix(),
+		callerRequest: r, api: api, req: req, pool: pool, body: body, created: e.now().Unix(),
 		gen: sidecar.Generate{
-			Request: r.id, Version: r.active.Version(), Account: r.account.Name, Model: req.Model, Path: s.path,
+			Request: r.id, Version: r.active.Version(), Account: r.account.Name, Model: req.Model, Path: api.path,
 			Body: full, Prompt: req.promptTokens(), MaxTokens: req.maxTokens(),
 			StartBy: e.now().Add(e.settings.StartWithin),
 		},
 	}, nil
 }
 
-// refuse gives the final answer to a request that has not run; fields are for its log line.
+// refuse writes the final error to a request that has not run. fields are added to its log event.
 func (e *Entry) refuse(w http.ResponseWriter, id string, a *apiError, retryAt time.Time, fields ...any) {
 	e.rec.Note(events.RequestRefused, id, append([]any{"code", a.code}, fields...)...)
-	e.met.requests.WithLabelValues(a.code).Inc()
+	e.metrics.requests.WithLabelValues(a.code).Inc()
 	writeError(w, a, sidecar.NotRun, retryAt, e.now())
 }
 
-// serve tries upstreams until one yields a first piece, then relays it.
+// serve starts the completion on an upstream and relays its stream to the caller.
 func (e *Entry) serve(w http.ResponseWriter, j *job) {
-	at, failed := e.start(j)
+	opened, failed := e.start(j)
 	if failed != nil {
 		if j.Context().Err() == nil {
-			e.met.requests.WithLabelValues(failed.api.code).Inc()
-			e.rec.Note(events.RequestRefused, j.id, "code", failed.api.code, "outcome", failed.outcome)
-			writeError(w, failed.api, failed.outcome, failed.retryAt, e.now())
+			e.metrics.requests.WithLabelValues(failed.apiErr.code).Inc()
+			e.rec.Note(events.RequestRefused, j.id, "code", failed.apiErr.code, "outcome", failed.outcome)
+			writeError(w, failed.apiErr, failed.outcome, failed.retryAt, e.now())
 		}
 		return
 	}
-	rl := e.newRelay(w, j.callerRequest, j.shape, at)
+	rl := e.newRelay(w, j.callerRequest, j.api, opened)
 	rl.run = j.run
-	rl.model, rl.created, rl.usage = j.req.Model, j.created, j.req.StreamOptions.IncludeUsage
+	rl.model, rl.created, rl.includeUsage = j.req.Model, j.created, j.req.StreamOptions.IncludeUsage
 	if j.req.Stream {
 		rl.stream()
 	} else {
-		rl.whole()
+		rl.collect()
 	}
 }
 
-// started is a stream with its first piece at hand.
-type started struct {
+// openedStream is a stream and the first part received from it.
+type openedStream struct {
 	stream *sidecar.Stream
 	first  sidecar.Part
 }
 
-// failure is the final answer to a request that yields no stream.
+// failure is the final error to a request for which no stream was started.
 type failure struct {
-	api     *apiError
+	apiErr  *apiError
 	outcome sidecar.Outcome
 	retryAt time.Time
 }
 
-const overloadRetry = time.Second
-
-// start sends the request to one upstream after another. It goes on only when
-// it is proven that nothing reached the caller: the sidecar refused, or the
-// generation ended before its first token.
-func (e *Entry) start(j *job) (started, *failure) {
-	e.budget(j.pool.Name).Request()
-	fail := &failure{api: errNoUpstream, outcome: sidecar.NotRun, retryAt: e.retryAt(j.pool)}
-	for i, p := range e.isolated(j.run, e.route(j.pool)) {
-		if i >= e.settings.Attempts || !j.run.MaySend() || (i > 0 && !e.budget(j.pool.Name).Retry()) {
+// defaultRetryDelay is the retry delay that callers get if no upstream names one.
+const defaultRetryDelay = time.Second
+
+// start sends the request to one upstream after another until one of them starts a stream. It tries another
+// upstream only while nothing has reached the caller: the sidecar was unreachable or refused the request,
+// or the generation or the connection ended before the first token. A request that may have run is sent
+// again only if the quarantine permits it.
+func (e *Entry) start(j *job) (openedStream, *failure) {
+	e.retryBudget(j.pool.Name).Request()
+	fail := &failure{apiErr: errNoUpstream, outcome: sidecar.NotRun, retryAt: e.retryAt(j.pool)}
+	for i, p := range e.isolatePeers(j.run, e.route(j.pool)) {
+		if i >= e.settings.Attempts || !j.run.MaySend() || (i > 0 && !e.retryBudget(j.pool.Name).Retry()) {
 			break
 		}
 		j.run.SentTo(p.Identity().Upstream())
 		if i > 0 {
-			e.met.retries.Inc()
+			e.metrics.retries.Inc()
 			e.rec.Note(events.RequestRetried, j.id, "upstream", p.Identity().Upstream())
 		}
-		at, err := e.attempt(j, p)
+		opened, err := e.attempt(j, p)
 		if err == nil {
-			return at, nil
+			return opened, nil
 		}
-		next, again := e.failureOf(err, fail)
+		next, retryable := e.classifyFailure(err, fail)
 		fail = next
-		if !again || j.Context().Err() != nil || fail.outcome != sidecar.NotRun && !j.run.MayRepeat() {
+		if !retryable || j.Context().Err() != nil || fail.outcome != sidecar.NotRun && !j.run.MayRepeat() {
 			break
 		}
 	}
-	return started{}, fail
+	return openedStream{}, fail
 }
 
 // errNoToken is returned when a generation ended before its first token.
 var errNoToken = errors.New("generation ended before its first token")
 
-func (e *Entry) attempt(j *job, p *membership.Peer) (started, error) {
+// attempt sends the request to one upstream and waits for the first part of the stream.
+func (e *Entry) attempt(j *job, p *membership.Peer) (openedStream, error) {
 	upstream := p.Identity().Upstream()
 	e.noteSent(upstream)
 	e.rec.Note(events.RequestRouted, j.id, "upstream", upstream)
-	ctx, stop := e.watch(j.Context(), p)
+	ctx, stop := e.cancelWhenSuspected(j.Context(), p)
 	defer stop()
-	sent := p.Identity()
+	sentTo := p.Identity()
 	s, err := e.client.Generate(ctx, p, j.gen)
 	if err != nil {
-		e.sidecarLost(j.run, p, sent, err)
-		return started{}, err
+		e.reportLostSidecar(j.run, p, sentTo, err)
+		return openedStream{}, err
 	}
 	part, err := s.Next(ctx)
 	switch {
 	case err != nil:
 		s.Cancel()
-		e.sidecarLost(j.run, p, sent, err)
-		return started{}, err
+		e.reportLostSidecar(j.run, p, sentTo, err)
+		return openedStream{}, err
 	case part.Ended() && !part.Whole() && len(part.Choices()) == 0:
 		s.Close()
-		e.lost(j.run, part.EndedWith())
-		return started{}, fmt.Errorf("%w: %s", errNoToken, part.Reason())
+		e.reportCrash(j.run, part.EndedWith())
+		return openedStream{}, fmt.Errorf("%w: %s", errNoToken, part.Reason())
 	}
-	return started{stream: s, first: part}, nil
+	return openedStream{stream: s, first: part}, nil
 }
 
-// silence is how long an answer may take before the peer is probed.
-const silence = 150 * time.Millisecond
+// probeInterval is the time between probes of a peer while a request waits for its answer.
+const probeInterval = 150 * time.Millisecond
 
-// watch probes a peer whose answer is awaited and ends the context once it is
-// suspected, so that the request moves on while the wait is still short.
-func (e *Entry) watch(ctx context.Context, p *membership.Peer) (context.Context, context.CancelFunc) {
+// cancelWhenSuspected returns a context that is canceled once the failure detector suspects p, so that a
+// request that waits for p can soon try another upstream. It probes p until then.
+func (e *Entry) cancelWhenSuspected(ctx context.Context, p *membership.Peer) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(silence):
+			case <-time.After(probeInterval):
 			}
 			if p.Suspected() {
 				cancel()
@@ -297,32 +304,34 @@
 	return ctx, cancel
 }
 
-// failureOf turns an attempt's error into the answer to give if no other
-// attempt follows, and says whether another one is safe.
-func (e *Entry) failureOf(err error, before *failure) (*failure, bool) {
+// classifyFailure returns the failure to report if no other attempt follows the one that failed with err, and
+// whether another attempt is useful. previous is the failure of the earlier
+// attempts.
+func (e *Entry) classifyFailure(err error, previous *failure) (*failure, bool) {
 	var refusal *sidecar.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		f := &failure{api: errOverloaded.with(errOverloaded.message + ": " + refusal.Reason()), outcome: before.outcome, retryAt: refusal.RetryAt()}
+		f := &failure{apiErr: errOverloaded.withMessage(errOverloaded.message + ": " + refusal.Reason()), outcome: previous.outcome, retryAt: refusal.RetryAt()}
 		if f.retryAt.IsZero() {
-			f.api, f.retryAt = errNoUpstream.with(refusal.Reason()), e.now().Add(overloadRetry)
+			f.apiErr, f.retryAt = errNoUpstream.withMessage(refusal.Reason()), e.now().Add(defaultRetryDelay)
 		}
 		return f, refusal.Elsewhere()
 	case errors.Is(err, peer.ErrUnreachable):
-		return before, true
+		return previous, true
 	case errors.Is(err, errNoToken):
-		// The engine may have worked on it, but nobody has seen a token.
-		return &failure{api: errNoUpstream.with(err.Error()), outcome: sidecar.Unknown, retryAt: e.now().Add(overloadRetry)}, true
+		// The engine may have processed the request, but no token has reached the caller.
+		return &failure{apiErr: errNoUpstream.withMessage(err.Error()), outcome: sidecar.Unknown, retryAt: e.now().Add(defaultRetryDelay)}, true
 	default:
-		return &failure{api: errLost, outcome: sidecar.Unknown, retryAt: e.now().Add(overloadRetry)}, true
+		return &failure{apiErr: errConnectionLost, outcome: sidecar.Unknown, retryAt: e.now().Add(defaultRetryDelay)}, true
 	}
 }
 
-// eventID names an offset of a generation in the SSE id field.
+// eventID returns the SSE event ID of an offset in a generation.
 func eventID(generation string, offset int64) string {
 	return generation + ":" + strconv.FormatInt(offset, 10)
 }
 
+// parseEventID splits an SSE event ID into generation and offset.
 func parseEventID(id string) (generation string, offset int64, ok bool) {
 	i := strings.LastIndexByte(id, ':')
 	if i < 0 {
@@ -332,16 +341,17 @@
 	return id[:i], n, err == nil && n >= 0
 }
 
+// upstreamOf returns the upstream that runs a generation, whose name precedes the first ~ of its ID.
 func upstreamOf(generation string) string {
 	name, _, _ := strings.Cut(generation, "~")
 	return name
 }
 
-// resumeStream goes on with a stream that this or another entry began.
-func (e *Entry) resumeStream(w http.ResponseWriter, r callerRequest, s shape, lastID string) {
+// resumeStream resumes a stream that this entry or another one started.
+func (e *Entry) resumeStream(w http.ResponseWriter, r callerRequest, api completionAPI, lastID string) {
 	generation, offset, ok := parseEventID(lastID)
 	if !ok {
-		e.refuse(w, r.id, errBadBody.with("Last-Event-ID names no stream offset").about("Last-Event-ID"), time.Time{})
+		e.refuse(w, r.id, errBadBody.withMessage("Last-Event-ID names no stream offset").withParam("Last-Event-ID"), time.Time{})
 		return
 	}
 	model := ""
@@ -356,16 +366,17 @@
 		writeError(w, errNoStream, sidecar.Unknown, time.Time{}, e.now())
 		return
 	}
-	e.met.resumes.Inc()
-	rl := e.newRelay(w, r, s, started{stream: st})
+	e.metrics.resumes.Inc()
+	rl := e.newRelay(w, r, api, openedStream{stream: st})
 	rl.model, rl.created, rl.offset = model, e.now().Unix(), offset
 	rl.stream()
 }
 
-const resumePause = 50 * time.Millisecond
+// sidecarRetryDelay is the time between attempts to reach the sidecar that runs a generation or a call.
+const sidecarRetryDelay = 50 * time.Millisecond
 
-// resume asks the sidecar named in the generation, again and again while it
-// cannot be reached, up to the deadline.
+// resume reopens the stream of a generation after an offset, at the sidecar that runs it. It retries for at
+// most Settings.ResumeWithin, unless the sidecar answers that it does not have the generation.
 func (e *Entry) resume(ctx context.Context, generation string, after int64, account string) (*sidecar.Stream, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.settings.ResumeWithin)
 	defer cancel()
@@ -381,7 +392,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, last
-		case <-time.After(resumePause):
+		case <-time.After(sidecarRetryDelay):
 		}
 	}
 }
--- a/internal/entry/crashing.go
+++ b/internal/entry/crashing.go
@@ -16,109 +16,116 @@
 )
 
 const (
-	// turnWithin is how long a request waits while the same one runs elsewhere after an
-	// upstream ended under it: most end in that time.
-	turnWithin = 500 * time.Millisecond
-	// trialLasts is how long after its begin a generation under which an engine ended keeps
-	// others with the same request back.
-	trialLasts = time.Second
-	// sweepEvery is the pause between looks at requests to forget.
-	sweepEvery = 250 * time.Millisecond
-	// reachWithin bounds a look at whether a sidecar listens: some round trips.
-	reachWithin = 400 * time.Millisecond
-	// sidecarMark stands in the names of sidecars' starts only.
-	sidecarMark = "~"
-	// headerNoRetry tells OpenAI's client libraries not to send the request again.
+	// turnTimeout is how long a suspect waits while a request with the same fingerprint runs. Most
+	// requests end within that time.
+	turnTimeout = 500 * time.Millisecond
+	// steadyAfter is the time since its start after which a generation of a suspect no longer delays
+	// requests with the same fingerprint.
+	steadyAfter = time.Second
+	// sweepInterval is the time between two sweeps of the quarantine.
+	sweepInterval = 250 * time.Millisecond
+	// dialTimeout bounds the check whether a sidecar accepts connections. It allows for several round
+	// trips.
+	dialTimeout = 400 * time.Millisecond
+	// sidecarSeparator separates the upstream from the incarnation in the name of a sidecar's incarnation.
+	// Names of engine incarnations do not contain it.
+	sidecarSeparator = "~"
+	// headerNoRetry is the header that tells OpenAI's client libraries whether to retry.
 	headerNoRetry = "X-Should-Retry"
 )
 
-// enterRun begins to serve a request, unless it is one that ends upstreams: then it is
-// refused at once. That is no fault of the caller, and it has not run, hence 503; there is
-// no time to come back, since nobody knows when the upstreams will bear it.
-func (e *Entry) enterRun(w http.ResponseWriter, r callerRequest, name string, body []byte) (*quarantine.Run, bool) {
+// enterQuarantine registers a request with the quarantine and returns its run. It refuses a quarantined
+// request at once with 503, since the request has not run and the caller is not at fault. That answer has
+// no Retry-After, since it is unknown when the request will no longer crash upstreams. It also refuses a
+// suspect that did not get its turn within turnTimeout.
+func (e *Entry) enterQuarantine(w http.ResponseWriter, r callerRequest, name string, body []byte) (*quarantine.Run, bool) {
 	q := quarantine.Request{Fingerprint: quarantine.FingerprintOf(r.Method, "", r.URL.RequestURI(), r.account.Name, body), Route: name, Account: r.account.Name}
-	run, err := e.quarantine.Enter(r.Context(), q, turnWithin)
+	run, err := e.quarantine.Enter(r.Context(), q, turnTimeout)
 	switch {
 	case err == nil:
 		return run, true
 	case errors.Is(err, quarantine.ErrHeld):
 		w.Header().Set(headerNoRetry, "false")
-		e.refuse(w, r.id, errHeld, time.Time{}, "fingerprint", q.Fingerprint)
+		e.refuse(w, r.id, errQuarantined, time.Time{}, "fingerprint", q.Fingerprint)
 	default:
-		e.refuse(w, r.id, errOnTrial, e.now().Add(overloadRetry), "fingerprint", q.Fingerprint)
+		e.refuse(w, r.id, errOnTrial, e.now().Add(defaultRetryDelay), "fingerprint", q.Fingerprint)
 	}
 	return nil, false
 }
 
-// isolated puts the upstreams that run a suspect last, and leaves them out for a request that is
-// to run apart from suspects: all of them, unless most upstreams are there.
-func (e *Entry) isolated(run *quarantine.Run, list []*membership.Peer) []*membership.Peer {
-	away := 0
+// isolatePeers returns the peers in the order in which to try them, so that the request is kept apart from
+// suspects as far as its isolation demands.
+func (e *Entry) isolatePeers(run *quarantine.Run, list []*membership.Peer) []*membership.Peer {
+	crashedRecently := 0
 	for _, route := range e.quarantine.EndedLately() {
 		if route == run.Route() {
-			away++
+			crashedRecently++
 		}
 	}
 	name := func(p *membership.Peer) string { return p.Identity().Upstream() }
-	return isolate(list, name, e.quarantine.Trials(), run.Isolation(), away)
+	return isolate(list, name, e.quarantine.Trials(), run.Isolation(), crashedRecently)
 }
 
-// isolate is isolated for upstreams with names, some of which run suspects; away is the number of
-// those that ended lately.
-func isolate[T any](list []T, name func(T) string, trials map[string]bool, isolation quarantine.Isolation, away int) []T {
-	var free, busy []T
+// isolate moves the upstreams that run a suspect, which trials contains by name, to the end of the list.
+// With quarantine.Apart it removes them, and returns no upstream at all if too many are unavailable.
+// crashedRecently is the number of upstreams that crashed recently.
+func isolate[T any](list []T, name func(T) string, trials map[string]bool, isolation quarantine.Isolation, crashedRecently int) []T {
+	var withoutSuspect, withSuspect []T
 	for _, u := range list {
 		if trials[name(u)] {
-			busy = append(busy, u)
+			withSuspect = append(withSuspect, u)
 		} else {
-			free = append(free, u)
+			withoutSuspect = append(withoutSuspect, u)
 		}
 	}
 	switch {
 	case isolation != quarantine.Apart:
-		return append(free, busy...)
-	case !quarantine.MostThere(len(list)-away, len(list)):
+		return append(withoutSuspect, withSuspect...)
+	case !quarantine.MostThere(len(list)-crashedRecently, len(list)):
 		return nil
 	default:
-		return free
+		return withoutSuspect
 	}
 }
 
-// lost notes that a start of an upstream ended under a request; empty for none.
-func (e *Entry) lost(run *quarantine.Run, start string) {
-	if start == "" {
+// reportCrash reports to the quarantine that an incarnation of an upstream crashed while it ran the request.
+// An empty incarnation means that none crashed.
+func (e *Entry) reportCrash(run *quarantine.Run, incarnation string) {
+	if incarnation == "" {
 		return
 	}
-	run.EndedWith(start)
+	run.EndedWith(incarnation)
 }
 
-// sidecarLost notes that the connection to a sidecar ended under a request, which may have
-// ended that process: its next start, or its address, tells.
-func (e *Entry) sidecarLost(run *quarantine.Run, p *membership.Peer, sent membership.Identity, err error) {
+// reportLostSidecar reports to the quarantine that the connection to a sidecar was lost while it ran the
+// request, and does nothing if err is another error. The request may have crashed the sidecar. The sidecar
+// counts as crashed if its address refuses connections, which reportLostSidecar checks, or once a later
+// incarnation replaces it, which SweepQuarantine checks.
+func (e *Entry) reportLostSidecar(run *quarantine.Run, p *membership.Peer, sentTo membership.Identity, err error) {
 	if !errors.Is(err, peer.ErrLost) {
 		return
 	}
-	start := sidecarStart(sent)
-	run.Broke(start)
+	incarnation := sidecarIncarnation(sentTo)
+	run.Broke(incarnation)
 	go func() {
-		c, err := net.DialTimeout("tcp", p.Address(), reachWithin)
+		c, err := net.DialTimeout("tcp", p.Address(), dialTimeout)
 		switch {
 		case err == nil:
 			_ = c.Close()
 		case errors.Is(err, syscall.ECONNREFUSED):
-			e.quarantine.Ended(start)
+			e.quarantine.Ended(incarnation)
 		}
 	}()
 }
 
-// sidecarStart names a start of a sidecar.
-func sidecarStart(i membership.Identity) string {
-	return i.Upstream() + sidecarMark + i.Incarnation()
+// sidecarIncarnation returns the name under which the quarantine knows an incarnation of a sidecar.
+func sidecarIncarnation(i membership.Identity) string {
+	return i.Upstream() + sidecarSeparator + i.Incarnation()
 }
 
-// sidecarReplaced reports whether a later start took the place of a sidecar's.
-func (e *Entry) sidecarReplaced(start string) bool {
-	upstream, incarnation, ok := strings.Cut(start, sidecarMark)
+// sidecarReplaced reports whether a later incarnation has replaced the given one of a sidecar.
+func (e *Entry) sidecarReplaced(sidecar string) bool {
+	upstream, incarnation, ok := strings.Cut(sidecar, sidecarSeparator)
 	if !ok {
 		return false
 	}
@@ -126,22 +133,22 @@
 	return ok && p.Identity().Incarnation() != incarnation
 }
 
-// settleCall notes what the result of a call tells about its request.
-func (e *Entry) settleCall(run *quarantine.Run, res sidecar.Result) {
+// reportResult reports the result of a call to the quarantine.
+func (e *Entry) reportResult(run *quarantine.Run, res sidecar.Result) {
 	if res.Outcome() == sidecar.Done {
 		run.Served()
 		return
 	}
-	e.lost(run, res.EndedWith())
+	e.reportCrash(run, res.EndedWith())
 }
 
-// Quarantine returns what this entry knows of requests that end upstreams.
+// Quarantine returns this entry's quarantine of poison requests.
 func (e *Entry) Quarantine() *quarantine.Set { return e.quarantine }
 
-// SweepQuarantine settles which sidecars ended, and forgets requests that are old, until ctx
-// ends.
+// SweepQuarantine determines periodically which sidecars have crashed, and removes old records of the
+// quarantine, until ctx ends.
 func (e *Entry) SweepQuarantine(ctx context.Context) {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,7 @@
-// Package entry serves callers: it checks who they are, chooses an upstream,
-// relays the answer, and says plainly what became of each request.
+// Package entry implements the HTTP API that an entry process serves to callers and operators. It
+// authenticates callers, limits the concurrency of their accounts, chooses an upstream for each request and
+// relays the answer of its sidecar. Every error of a completion or call tells the caller whether the request
+// did not run or may have run.
 package entry
 
 import (
@@ -29,30 +31,30 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// Settings are the fixed numbers of an entry.
+// Settings holds the settings of an entry.
 type Settings struct {
 	// Zone is the availability zone the entry runs in.
 	Zone string
-	// MaxBody bounds a caller's request in bytes.
+	// MaxBody is the largest size in bytes of a request body.
 	MaxBody int64
-	// StartWithin is how long a generation may wait for its start.
+	// StartWithin is how long a generation may wait in queues before it starts.
 	StartWithin time.Duration
-	// GoneGrace is how long a stream whose caller went away is kept.
+	// GoneGrace is how long a generation continues after its caller has disconnected.
 	GoneGrace time.Duration
-	// ResumeWithin is how long a broken link to a sidecar may take to heal
-	// before a stream is cut.
+	// ResumeWithin is how long the entry tries to reach a sidecar again after a lost connection before it
+	// ends the stream with an error.
 	ResumeWithin time.Duration
-	// CallWithin bounds a call to a plain service.
+	// CallWithin is the deadline of a call to a plain service, from its arrival.
 	CallWithin time.Duration
-	// Attempts bounds the upstreams tried for one request.
+	// Attempts is the largest number of upstreams tried for one request.
 	Attempts int
-	// RetryPart is the part of requests that may be retries.
+	// RetryPart is the ratio of retries to requests that the retry budget permits.
 	RetryPart float64
 	// Operators maps the SHA-256 of an operator's token to the operator's name.
 	Operators map[string]string
 }
 
-// Entry serves the caller's and the administration API.
+// Entry serves the API for callers and the administration API.
 type Entry struct {
 	settings Settings
 	identity membership.Identity
@@ -62,26 +64,27 @@
 	coord    *rollout.Coordinator
 	rec      *events.Recorder
 	reg      *prometheus.Registry
-	met      *metrics
+	metrics  *metrics
 	now      func() time.Time
 
-	// quarantine knows the requests that end upstreams.
+	// quarantine holds the suspects and the poison requests.
 	quarantine *quarantine.Set
-	// returns orders callers that were refused while no upstream of their pool took work.
-	returns placement.Returns
-
-	draining atomic.Bool
-	joined   atomic.Bool
-	serial   atomic.Int64
-	inFlight inflight.Counter
-
-	mu      sync.Mutex
-	budgets map[string]*routing.Budget
-	sent    map[string]sentSince
-	active  map[string]int
+	// retrySchedule spreads the retries of callers that were refused while no upstream of their pool took
+	// requests.
+	retrySchedule placement.Returns
+
+	draining      atomic.Bool
+	joined        atomic.Bool
+	requestSerial atomic.Int64
+	inFlight      inflight.Counter
+
+	mu             sync.Mutex
+	retryBudgets   map[string]*routing.Budget
+	sentCounts     map[string]sentSince
+	activeRequests map[string]int
 }
 
-// sentSince counts the requests sent to an upstream since its last report.
+// sentSince counts the requests sent to an upstream since its latest load report.
 type sentSince struct {
 	report int64
 	n      int
@@ -90,27 +93,27 @@
 // New returns an Entry.
 func New(settings Settings, identity membership.Identity, set *membership.Set, client *sidecar.Client, store *rollout.Store, coord *rollout.Coordinator, rec *events.Recorder, reg *prometheus.Registry, now func() time.Time) *Entry {
 	e := &Entry{
-		settings: settings,
-		identity: identity,
-		set:      set,
-		client:   client,
-		store:    store,
-		coord:    coord,
-		rec:      rec,
-		reg:      reg,
-		met:      newMetrics(reg, client),
-		now:      now,
-		budgets:  map[string]*routing.Budget{},
-		sent:     map[string]sentSince{},
-		active:   map[string]int{},
-		// Ages of ends are steady: the time of day may jump.
+		settings:       settings,
+		identity:       identity,
+		set:            set,
+		client:         client,
+		store:          store,
+		coord:          coord,
+		rec:            rec,
+		reg:            reg,
+		metrics:        newMetrics(reg, client),
+		now:            now,
+		retryBudgets:   map[string]*routing.Budget{},
+		sentCounts:     map[string]sentSince{},
+		activeRequests: map[string]int{},
+		// time.Now has a monotonic reading, so the ages of crashes stay right when the wall clock jumps.
 		quarantine: quarantine.New(rec, time.Now, set.ProbeEntries),
 	}
 	e.quarantine.SetName(identity.Process())
 	return e
 }
 
-// Handler serves both APIs.
+// Handler returns the handler for both APIs, the health checks and the metrics.
 func (e *Entry) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.UseEncodedPath()
@@ -118,13 +121,13 @@
 	r.HandleFunc("/livez", e.livez).Methods(http.MethodGet)
 	r.HandleFunc("/readyz", e.readyz).Methods(http.MethodGet)
 	r.Handle("/metrics", promhttp.HandlerFor(e.reg, promhttp.HandlerOpts{})).Methods(http.MethodGet)
-	r.HandleFunc("/v1/chat/completions", e.caller(e.completions(chatShape))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/completions", e.caller(e.completions(textShape))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/models", e.caller(e.listModels)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/models/{model}", e.caller(e.getModel)).Methods(http.MethodGet)
-	r.HandleFunc("/services/{pool}/_tickets", e.caller(e.mintTicket)).Methods(http.MethodPost)
-	r.HandleFunc("/services/{pool}/_calls/{id}", e.caller(e.getCall)).Methods(http.MethodGet)
-	r.PathPrefix("/services/{pool}/").HandlerFunc(e.caller(e.service))
+	r.HandleFunc("/v1/chat/completions", e.requireCaller(e.completions(chatAPI))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/completions", e.requireCaller(e.completions(textAPI))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/models", e.requireCaller(e.listModels)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/models/{model}", e.requireCaller(e.getModel)).Methods(http.MethodGet)
+	r.HandleFunc("/services/{pool}/_tickets", e.requireCaller(e.createTicket)).Methods(http.MethodPost)
+	r.HandleFunc("/services/{pool}/_calls/{id}", e.requireCaller(e.getCall)).Methods(http.MethodGet)
+	r.PathPrefix("/services/{pool}/").HandlerFunc(e.requireCaller(e.service))
 	e.adminRoutes(r.PathPrefix("/admin/v1").Subrouter())
 	r.NotFoundHandler = http.HandlerFunc(e.notFound)
 	r.MethodNotAllowedHandler = http.HandlerFunc(e.notAllowed)
@@ -133,40 +136,40 @@
 
 func (e *Entry) livez(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) }
 
-// Joined lets the entry serve: it is on the VM list and has read the head since,
-// so no change can be accepted without it.
+// Joined makes the entry serve requests. The caller calls it once the entry is on the VM list and has read
+// the head of the configuration after that: from then on no change is accepted without this entry.
 func (e *Entry) Joined() { e.joined.Store(true) }
 
-// inForce returns the configuration to serve by, nil before the entry joined.
-func (e *Entry) inForce() *config.Active {
+// activeConfig returns the active configuration, nil before Joined.
+func (e *Entry) activeConfig() *config.Active {
 	if !e.joined.Load() {
 		return nil
 	}
 	return e.store.Active()
 }
 
-// readyz tells the platform's balancer whether to send callers here.
+// readyz tells the platform's load balancer whether the entry takes requests.
 func (e *Entry) readyz(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case e.draining.Load():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
-	case e.inForce() == nil:
+	case e.activeConfig() == nil:
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
 	default:
 		_, _ = w.Write([]byte("ok\n"))
 	}
 }
 
-// Drain tells the balancer to send nothing new; what comes all the same is
-// still served.
+// Drain makes the readiness check fail, so that the load balancer sends no new requests. Requests that still
+// arrive are served.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
-// Idle waits until no request is in flight; it returns false if ctx ends first.
+// Idle waits until no request is in flight. It returns false if ctx ends first.
 func (e *Entry) Idle(ctx context.Context) bool {
 	return e.inFlight.Idle(ctx)
 }
 
-// callerRequest is a request whose account is known.
+// callerRequest is an authenticated request with its ID, its account and the configuration to serve it by.
 type callerRequest struct {
 	*http.Request
 	id      string
@@ -178,14 +181,15 @@
 
 const headerRequest = "X-Request-Id"
 
-// caller checks the client API key and the account's concurrency.
-func (e *Entry) caller(h callerHandler) http.HandlerFunc {
+// requireCaller returns a handler that calls h only for requests with a valid API key whose account is
+// within its concurrency limit.
+func (e *Entry) requireCaller(h callerHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.inFlight.Enter()
 		defer e.inFlight.Leave()
-		id := e.identity.Incarnation() + "-" + strconv.FormatInt(e.serial.Add(1), 10)
+		id := e.identity.Incarnation() + "-" + strconv.FormatInt(e.requestSerial.Add(1), 10)
 		w.Header().Set(headerRequest, id)
-		active := e.inForce()
+		active := e.activeConfig()
 		if active == nil {
 			writeError(w, errNotReady, sidecar.NotRun, e.now().Add(time.Second), e.now())
 			return
@@ -195,16 +199,17 @@
 			writeError(w, errBadKey, sidecar.NotRun, time.Time{}, e.now())
 			return
 		}
-		if !e.enter(account) {
+		if !e.acquireSlot(account) {
 			writeError(w, errConcurrency, sidecar.NotRun, e.now().Add(time.Second), e.now())
 			return
 		}
-		defer e.exit(account)
+		defer e.releaseSlot(account)
 		e.rec.Note(events.RequestReceived, id, "account", account.Name, "path", r.URL.Path)
 		h(w, callerRequest{Request: r, id: id, account: account, active: active})
 	}
 }
 
+// bearer returns the bearer token of a request, empty if there is none.
 func bearer(r *http.Request) string {
 	const prefix = "Bearer "
 	h := r.Header.Get("Authorization")
@@ -214,19 +219,21 @@
 	return ""
 }
 
-// enter takes one of the account's places at this entry. The account's limit
-// is divided by the number of entries, so that it holds without a store.
-func (e *Entry) enter(a *config.Account) bool {
+// acquireSlot counts a request of the account, or returns false if the account is at its limit at this entry.
+// The account's concurrency limit is divided by the number of entries, so that entries enforce it without
+// a shared store.
+func (e *Entry) acquireSlot(a *config.Account) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Concurrency > 0 && e.active[a.Name] >= e.shareOf(a.Concurrency) {
+	if a.Concurrency > 0 && e.activeRequests[a.Name] >= e.localShare(a.Concurrency) {
 		return false
 	}
-	e.active[a.Name]++
+	e.activeRequests[a.Name]++
 	return true
 }
 
-func (e *Entry) shareOf(limit int) int {
+// localShare returns this entry's share of a concurrency limit, rounded up.
+func (e *Entry) localShare(limit int) int {
 	entries := 0
 	for _, p := range e.set.Peers() {
 		if p.Identity().Role() == membership.RoleEntry {
@@ -237,17 +244,18 @@
 	return (limit + entries - 1) / entries
 }
 
-func (e *Entry) exit(a *config.Account) {
+// releaseSlot ends the count of a request that acquireSlot counted.
+func (e *Entry) releaseSlot(a *config.Account) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.active[a.Name]--
-	if e.active[a.Name] == 0 {
-		delete(e.active, a.Name)
+	e.activeRequests[a.Name]--
+	if e.activeRequests[a.Name] == 0 {
+		delete(e.activeRequests, a.Name)
 	}
 }
 
-// route returns the usable peers of a pool in the order in which to try them, without those whose
-// upstreams take nothing now: a request would be refused there and use up a retry.
+// route returns the usable peers of a pool in the order in which to try them. It leaves out peers whose
+// upstreams take no requests at present, since a refusal there would use up a retry.
 func (e *Entry) route(pool *config.Pool) []*membership.Peer {
 	peers := map[string]*membership.Peer{}
 	var candidates []routing.Candidate
@@ -267,8 +275,9 @@
 	return out
 }
 
-// retryAt is when a caller should come back whose request no upstream of a pool takes: when the
-// first of those does that say when, and a while later if none says.
+// retryAt returns when a caller should retry whose request no upstream of the pool takes. That is the
+// earliest time at which one of the upstreams takes requests again, spread over callers, or
+// defaultRetryDelay from now if no upstream has announced a time.
 func (e *Entry) retryAt(pool *config.Pool) time.Time {
 	var first time.Time
 	for _, u := range pool.Upstreams {
@@ -281,19 +290,20 @@
 		}
 	}
 	if first.IsZero() {
-		return e.now().Add(overloadRetry)
+		return e.now().Add(defaultRetryDelay)
 	}
-	return e.returns.At(pool.Name, first)
+	return e.retrySchedule.At(pool.Name, first)
 }
 
+// candidate returns the load of an upstream for routing.
 func (e *Entry) candidate(u config.Upstream, p *membership.Peer) routing.Candidate {
 	l := p.Load()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.sent[u.Name]
+	s := e.sentCounts[u.Name]
 	if s.report != l.AtMS {
 		s = sentSince{report: l.AtMS}
-		e.sent[u.Name] = s
+		e.sentCounts[u.Name] = s
 	}
 	return routing.Candidate{
 		Name:      u.Name,
@@ -305,28 +315,31 @@
 	}
 }
 
+// noteSent counts a request sent to an upstream.
 func (e *Entry) noteSent(upstream string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.sent[upstream]
+	s := e.sentCounts[upstream]
 	s.n++
-	e.sent[upstream] = s
+	e.sentCounts[upstream] = s
 }
 
-const retrySavings = 10
+// retryBurst is the largest number of retries that a retry budget saves up.
+const retryBurst = 10
 
-func (e *Entry) budget(pool string) *routing.Budget {
+// retryBudget returns the retry budget of a pool.
+func (e *Entry) retryBudget(pool string) *routing.Budget {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b, ok := e.budgets[pool]
+	b, ok := e.retryBudgets[pool]
 	if !ok {
-		b = routing.NewBudget(e.settings.RetryPart, retrySavings)
-		e.budgets[pool] = b
+		b = routing.NewBudget(e.settings.RetryPart, retryBurst)
+		e.retryBudgets[pool] = b
 	}
 	return b
 }
 
-// readBody reads at most the allowed size of a caller's body.
+// readBody returns the body of a request, or an error if it is larger than Settings.MaxBody.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *apiError) {
 	body := http.MaxBytesReader(w, r.Body, e.settings.MaxBody)
 	b, err := io.ReadAll(body)
@@ -337,7 +350,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, errTooLarge
 	default:
-		return nil, errBadBody.with(err.Error())
+		return nil, errBadBody.withMessage(err.Error())
 	}
 }
 
--- a/internal/entry/isolated_test.go
+++ b/internal/entry/isolated_test.go
@@ -7,6 +7,8 @@
 	"github.com/sparshore/sparshore/internal/quarantine"
 )
 
+// TestIsolate guards against a request that runs beside a suspect although its isolation forbids that: if
+// the upstream crashes, nobody can tell which of the two crashed it.
 func TestIsolate(t *testing.T) {
 	trials := map[string]bool{"a": true}
 	for _, tc := range []struct {
@@ -15,10 +17,10 @@
 		away      int
 		want      []string
 	}{
-		{"a sound request goes elsewhere if it can", quarantine.Anywhere, 0, []string{"b", "c", "a"}},
-		{"one under which an upstream ended does, too", quarantine.ApartIfPossible, 2, []string{"b", "c", "a"}},
-		{"one under which two ended goes nowhere near", quarantine.Apart, 1, []string{"b", "c"}},
-		{"and nowhere while most upstreams are away", quarantine.Apart, 2, nil},
+		{"harmless request: upstreams with a suspect come last", quarantine.Anywhere, 0, []string{"b", "c", "a"}},
+		{"suspect with one crash: upstreams with a suspect come last", quarantine.ApartIfPossible, 2, []string{"b", "c", "a"}},
+		{"suspect with several crashes: no upstream with a suspect", quarantine.Apart, 1, []string{"b", "c"}},
+		{"suspect with several crashes: no upstream while most crashed recently", quarantine.Apart, 2, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := isolate([]string{"a", "b", "c"}, func(s string) string { return s }, trials, tc.isolation, tc.away)
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -18,14 +18,14 @@
 			Name: "sparshore_entry_requests_total", Help: "Requests by how they ended.",
 		}, []string{"end"}),
 		retries: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "sparshore_entry_retries_total", Help: "Requests sent to a further upstream after a proven not-run.",
+			Name: "sparshore_entry_retries_total", Help: "Requests sent to another upstream after a failed attempt.",
 		}),
 		resumes: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "sparshore_entry_resumes_total", Help: "Streams gone on with at the next offset.",
+			Name: "sparshore_entry_resumes_total", Help: "Streams resumed at the next offset.",
 		}),
 	}
 	dropped := prometheus.NewCounterFunc(prometheus.CounterOpts{
-		Name: "sparshore_entry_frames_dropped_total", Help: "Frames of other generations, connections or offsets.",
+		Name: "sparshore_entry_frames_dropped_total", Help: "Frames dropped because their generation, connection or offset was not the expected one.",
 	}, func() float64 { return float64(client.Dropped()) })
 	open := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "sparshore_entry_streams_open", Help: "Streams being received from sidecars.",
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -13,28 +13,27 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// relay writes one generation to one caller.
+// relay forwards the stream of one generation to one caller.
 type relay struct {
 	entry  *Entry
 	w      http.ResponseWriter
 	req    callerRequest
-	shape  shape
+	api    completionAPI
 	source *sidecar.Stream
 	first  sidecar.Part
-	// run is nil for a stream that another request began.
-	run     *quarantine.Run
-	began   time.Time
-	model   string
-	created int64
-	usage   bool
-	// offset is the last offset written to the caller, acked the last one the
-	// sidecar was told of.
+	// run is the request in the quarantine, nil for a stream that another request started.
+	run          *quarantine.Run
+	startedAt    time.Time
+	model        string
+	created      int64
+	includeUsage bool
+	// offset is the last offset written to the caller, acked the last one acknowledged to the sidecar.
 	offset int64
 	acked  int64
 }
 
-func (e *Entry) newRelay(w http.ResponseWriter, r callerRequest, s shape, at started) *relay {
-	return &relay{entry: e, w: w, req: r, shape: s, source: at.stream, first: at.first, began: time.Now()}
+func (e *Entry) newRelay(w http.ResponseWriter, r callerRequest, api completionAPI, opened openedStream) *relay {
+	return &relay{entry: e, w: w, req: r, api: api, source: opened.stream, first: opened.first, startedAt: time.Now()}
 }
 
 type chunkBody struct {
@@ -48,23 +47,23 @@
 
 func (r *relay) chunk(choices []json.RawMessage, usage json.RawMessage) chunkBody {
 	return chunkBody{
-		ID: r.shape.idPrefix + r.source.Generation(), Object: r.shape.chunkObject,
+		ID: r.api.idPrefix + r.source.Generation(), Object: r.api.chunkObject,
 		Created: r.created, Model: r.model, Choices: choices, Usage: usage,
 	}
 }
 
-// next returns the next piece; when the link to the sidecar breaks it goes on
-// with the same generation over a new one.
+// next returns the next part of the stream. If the connection to the sidecar is lost, it resumes the same
+// generation over a new connection.
 func (r *relay) next(ctx context.Context) (sidecar.Part, error) {
 	if p := r.first; p.First() > 0 {
 		r.first = sidecar.Part{}
-		r.noteRun(p)
+		r.reportPart(p)
 		return p, nil
 	}
 	for {
 		p, err := r.await(ctx)
 		if err == nil || ctx.Err() != nil {
-			r.noteRun(p)
+			r.reportPart(p)
 			return p, err
 		}
 		generation := r.source.Generation()
@@ -73,30 +72,30 @@
 		if err != nil {
 			return sidecar.Part{}, err
 		}
-		r.entry.met.resumes.Inc()
+		r.entry.metrics.resumes.Inc()
 		r.source = s
 	}
 }
 
-// noteRun notes what a piece tells about the request.
-func (r *relay) noteRun(p sidecar.Part) {
+// reportPart reports to the quarantine what a part of the stream tells about the request.
+func (r *relay) reportPart(p sidecar.Part) {
 	switch {
 	case r.run == nil:
 	case p.Whole():
 		r.run.Served()
 	case p.Ended():
-		r.entry.lost(r.run, p.EndedWith())
-	case time.Since(r.began) > trialLasts:
+		r.entry.reportCrash(r.run, p.EndedWith())
+	case time.Since(r.startedAt) > steadyAfter:
 		r.run.Steady()
 	}
 }
 
-// longSilence is how long a stream may be silent before its sidecar is probed.
-const longSilence = time.Second
+// streamProbeDelay is the time without a part of the stream after which the sidecar is probed.
+const streamProbeDelay = time.Second
 
-// await waits for the next piece and probes the sidecar while it is silent.
+// await waits for the next part, and probes the sidecar once if it takes longer than streamProbeDelay.
 func (r *relay) await(ctx context.Context) (sidecar.Part, error) {
-	probe := time.AfterFunc(longSilence, func() {
+	probe := time.AfterFunc(streamProbeDelay, func() {
 		if p, ok := r.entry.set.Upstream(upstreamOf(r.source.Generation())); ok {
 			p.Probe()
 		}
@@ -105,7 +104,7 @@
 	return r.source.Next(ctx)
 }
 
-// stream relays the generation as server-sent events.
+// stream forwards the generation as server-sent events.
 func (r *relay) stream() {
 	h := r.w.Header()
 	h.Set("Content-Type", "text/event-stream")
@@ -115,24 +114,24 @@
 		p, err := r.next(r.req.Context())
 		switch {
 		case r.req.Context().Err() != nil:
-			r.gone()
+			r.handleDisconnect()
 			return
 		case err != nil:
-			r.cut(err.Error())
+			r.writeCut(err.Error())
 			return
 		}
 		if err := r.forward(p); err != nil {
-			r.gone()
+			r.handleDisconnect()
 			return
 		}
 		if p.Ended() {
-			r.end(p)
+			r.finish(p)
 			return
 		}
 	}
 }
 
-// forward writes the choices of a piece, each under its own event identifier.
+// forward writes the choices of a part, each as an event with its own ID.
 func (r *relay) forward(p sidecar.Part) error {
 	for i, c := range p.Choices() {
 		b, err := json.Marshal(r.chunk([]json.RawMessage{c}, nil))
@@ -152,26 +151,26 @@
 	return nil
 }
 
-// ackEvery is how many offsets may be written before the sidecar hears of it.
-// Until then it keeps them, which costs it little.
-const ackEvery = 16
+// ackInterval is the number of offsets written between two acknowledgements. The sidecar keeps
+// unacknowledged offsets, and keeping this many costs little.
+const ackInterval = 16
 
-// ack acknowledges what was written, now and then and at the end.
+// ack acknowledges the written offsets to the sidecar, after every ackInterval offsets and at the end.
 func (r *relay) ack(ended bool) {
-	if ended || r.offset-r.acked >= ackEvery {
+	if ended || r.offset-r.acked >= ackInterval {
 		r.source.Ack(r.offset)
 		r.acked = r.offset
 	}
 }
 
-// end tells the caller that the stream is whole, or where and why it was cut.
-func (r *relay) end(p sidecar.Part) {
+// finish writes the end of the stream: the usage and [DONE] if it is complete, otherwise an error.
+func (r *relay) finish(p sidecar.Part) {
 	r.source.Close()
 	if !p.Whole() {
-		r.cut(p.Reason())
+		r.writeCut(p.Reason())
 		return
 	}
-	if r.usage && p.Usage() != nil {
+	if r.includeUsage && p.Usage() != nil {
 		if b, err := json.Marshal(r.chunk([]json.RawMessage{}, p.Usage())); err == nil {
 			_, _ = fmt.Fprintf(r.w, "data: %s\n\n", b)
 		}
@@ -180,50 +179,51 @@
 	r.done()
 }
 
+// done records that the caller got the complete answer.
 func (r *relay) done() {
-	r.entry.met.requests.WithLabelValues("whole").Inc()
+	r.entry.metrics.requests.WithLabelValues("whole").Inc()
 	r.entry.rec.Note(events.RequestEnded, r.req.id, "generation", r.source.Generation(), "offset", r.offset)
 }
 
-// cut ends the stream with an error event: the caller knows that it is not
-// whole, and up to which offset it has it.
-func (r *relay) cut(reason string) {
-	r.entry.met.requests.WithLabelValues("cut").Inc()
+// writeCut ends the stream with an error event, which tells the caller that the stream is incomplete and the
+// last offset that was sent.
+func (r *relay) writeCut(reason string) {
+	r.entry.metrics.requests.WithLabelValues("cut").Inc()
 	r.entry.rec.Note(events.StreamCut, r.req.id, "generation", r.source.Generation(), "offset", r.offset, "reason", reason)
-	body := errCut.with("the stream was cut: " + reason).body(sidecar.Unknown)
+	body := errStreamCut.withMessage("the stream was cut: " + reason).body(sidecar.Unknown)
 	body.Error.Offset = &r.offset
 	if b, err := json.Marshal(body); err == nil {
 		_, _ = fmt.Fprintf(r.w, "data: %s\n\n", b)
 	}
 }
 
-// gone keeps the generation for a short time, in which the caller may come
-// back through any entry, and then cancels it on the engine.
-func (r *relay) gone() {
+// handleDisconnect handles a caller that has disconnected. The caller can resume the stream at any entry
+// within Settings.GoneGrace. After that time the generation is canceled on the engine.
+func (r *relay) handleDisconnect() {
 	r.entry.rec.Note(events.CallerGone, r.req.id, "generation", r.source.Generation(), "offset", r.offset)
-	r.entry.met.requests.WithLabelValues("caller-gone").Inc()
+	r.entry.metrics.requests.WithLabelValues("caller-gone").Inc()
 	s := r.source
 	time.AfterFunc(r.entry.settings.GoneGrace, s.Cancel)
 }
 
-// whole collects the generation and answers with one body.
-func (r *relay) whole() {
+// collect collects the generation and writes the answer as one body.
+func (r *relay) collect() {
 	merged := map[string]any{}
 	finish := json.RawMessage("null")
 	var last sidecar.Part
 	for !last.Ended() {
 		p, err := r.next(r.req.Context())
 		if r.req.Context().Err() != nil {
-			r.gone()
+			r.handleDisconnect()
 			return
 		}
 		if err != nil {
-			r.failed(err.Error())
+			r.writeFailure(err.Error())
 			return
 		}
 		for _, c := range p.Choices() {
 			if err := mergeChoice(merged, &finish, c); err != nil {
-				r.failed(err.Error())
+				r.writeFailure(err.Error())
 				return
 			}
 		}
@@ -233,21 +233,23 @@
 	}
 	r.source.Close()
 	if !last.Whole() {
-		r.failed(last.Reason())
+		r.writeFailure(last.Reason())
 		return
 	}
 	r.answer(merged, finish, last.Usage())
 }
 
-func (r *relay) failed(reason string) {
-	r.entry.met.requests.WithLabelValues("cut").Inc()
+// writeFailure writes an error instead of the answer to a request without streaming.
+func (r *relay) writeFailure(reason string) {
+	r.entry.metrics.requests.WithLabelValues("cut").Inc()
 	r.entry.rec.Note(events.StreamCut, r.req.id, "reason", reason, "offset", r.offset)
-	writeError(r.w, errCut.with("the answer could not be completed: "+reason), sidecar.Unknown, r.entry.now().Add(overloadRetry), r.entry.now())
+	writeError(r.w, errStreamCut.withMessage("the answer could not be completed: "+reason), sidecar.Unknown, r.entry.now().Add(defaultRetryDelay), r.entry.now())
 }
 
+// answer writes the collected generation as one body.
 func (r *relay) answer(merged map[string]any, finish, usage json.RawMessage) {
 	choice := map[string]any{"index": 0, "finish_reason": finish, "logprobs": nil}
-	if r.shape == chatShape {
+	if r.api == chatAPI {
 		merged["role"] = "assistant"
 		if _, ok := merged["content"]; !ok {
 			merged["content"] = nil
@@ -258,11 +260,11 @@
 	}
 	b, err := json.Marshal(choice)
 	if err != nil {
-		r.failed(err.Error())
+		r.writeFailure(err.Error())
 		return
 	}
 	body := r.chunk([]json.RawMessage{b}, usage)
-	body.Object = r.shape.wholeObject
+	body.Object = r.api.responseObject
 	r.w.Header().Set(headerOutcome, string(sidecar.Done))
 	writeJSON(r.w, http.StatusOK, body)
 	r.done()
@@ -276,7 +278,7 @@
 
 var errChoice = errors.New("malformed choice")
 
-// mergeChoice adds one streamed choice to the whole one.
+// mergeChoice adds a streamed choice to the fields collected so far and updates the finish reason.
 func mergeChoice(into map[string]any, finish *json.RawMessage, raw json.RawMessage) error {
 	var c choiceBody
 	if err := json.Unmarshal(raw, &c); err != nil {
@@ -292,13 +294,13 @@
 	return nil
 }
 
-// mergeDelta joins strings, merges objects, and merges list elements by their
-// index field, as the OpenAI stream format has it.
+// mergeDelta merges a delta into the collected fields as the OpenAI stream format defines it: strings are
+// concatenated, objects are merged, and list elements are merged by their index field.
 func mergeDelta(into, delta map[string]any) {
 	for k, v := range delta {
 		switch v := v.(type) {
 		case string:
-			if old, ok := into[k].(string); ok && !isName(k) {
+			if old, ok := into[k].(string); ok && !repeatsValue(k) {
 				v = old + v
 			}
 			into[k] = v
@@ -318,10 +320,10 @@
 	}
 }
 
-// isName reports whether a field holds a name, which is repeated and not
-// continued.
-func isName(field string) bool { return field == "role" || field == "type" || field == "id" }
+// repeatsValue reports whether a field repeats its whole value in each delta, instead of continuing it.
+func repeatsValue(field string) bool { return field == "role" || field == "type" || field == "id" }
 
+// mergeList merges list elements by their index field, and appends elements without one.
 func mergeList(old any, add []any) []any {
 	list, _ := old.([]any)
 	for _, v := range add {
@@ -334,14 +336,15 @@
 		for len(list) <= int(index) && len(list) < maxMergedList {
 			list = append(list, map[string]any{})
 		}
-		if at, ok := elementAt(list, int(index)); ok {
-			mergeDelta(at, m)
+		if element, ok := elementAt(list, int(index)); ok {
+			mergeDelta(element, m)
 		}
 	}
 	return list
 }
 
-// maxMergedList bounds a list that an engine's index could blow up.
+// maxMergedList is the largest length to which an element's index can extend a list. Without a limit a wrong
+// index from an engine could use up the memory.
 const maxMergedList = 256
 
 func elementAt(list []any, i int) (map[string]any, bool) {
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -22,32 +22,32 @@
 const (
 	headerKey  = "Idempotency-Key"
 	headerCall = "Sparshore-Call"
-	// settleTimeout bounds the question that follows a lost link.
-	settleTimeout = 2 * time.Second
+	// outcomeTimeout bounds the query for the outcome of a call.
+	outcomeTimeout = 2 * time.Second
 )
 
-// hopHeaders are not passed on to a service.
-var hopHeaders = []string{
+// unforwardedHeaders are the headers that are forwarded neither to a service nor from it.
+var unforwardedHeaders = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", headerRequest,
 }
 
-// place is a call with the sidecar responsible for it.
-type place struct {
+// placedCall is a call with its ID and the peer of the sidecar responsible for it.
+type placedCall struct {
 	call sidecar.Call
 	id   callid.ID
 	peer *membership.Peer
 }
 
-// upstream is the name of the upstream that gets the call; empty if it cannot be reached.
-func (p place) upstream() string {
+// upstream returns the name of the upstream that gets the call, empty if no peer is known.
+func (p placedCall) upstream() string {
 	if p.peer == nil {
 		return ""
 	}
 	return p.peer.Identity().Upstream()
 }
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (e *Entry) service(w http.ResponseWriter, r callerRequest) {
 	pool, ok := e.servicePool(r)
 	if !ok {
@@ -59,22 +59,22 @@
 		e.refuse(w, r.id, apiErr, time.Time{})
 		return
 	}
-	run, ok := e.enterRun(w, r, pool.Name, body)
+	run, ok := e.enterQuarantine(w, r, pool.Name, body)
 	if !ok {
 		return
 	}
 	defer run.Leave()
 	call := sidecar.Call{
 		Request: r.id, Pool: pool.Name, Version: r.active.Version(), Method: r.Method, Path: servicePath(r, pool),
-		Header: passedHeaders(r.Header), Body: body, Repeatable: pool.RepeatableMethod(r.Method),
+		Header: forwardedHeaders(r.Header), Body: body, Repeatable: pool.RepeatableMethod(r.Method),
 		StartBy: e.now().Add(e.settings.CallWithin),
 	}
 	if call.Repeatable {
-		call.ID = callKey(r.account, r.id)
+		call.ID = accountCallID(r.account, r.id)
 		e.answerCall(w, r, e.runRepeatable(r, run, pool, call))
 		return
 	}
-	pl, apiErr := e.place(r, run, pool, call)
+	pl, apiErr := e.placeCall(r, run, pool, call)
 	if apiErr != nil {
 		e.refuse(w, r.id, apiErr, e.retryAt(pool))
 		return
@@ -82,7 +82,7 @@
 	w.Header().Set(headerCall, pl.id.String())
 	run.SentTo(pl.upstream())
 	res := e.runOnce(r, run, pl)
-	e.settleCall(run, res)
+	e.reportResult(run, res)
 	e.answerCall(w, r, res)
 }
 
@@ -99,84 +99,86 @@
 	return path
 }
 
-func passedHeaders(h http.Header) http.Header {
+func forwardedHeaders(h http.Header) http.Header {
 	out := h.Clone()
-	for _, name := range hopHeaders {
+	for _, name := range unforwardedHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// callKey keeps the identifiers of different accounts apart.
-func callKey(a *config.Account, id string) string { return a.Name + "/" + id }
+// accountCallID returns the ID under which sidecars know a call. It contains the account, so that the IDs of
+// different accounts never collide.
+func accountCallID(a *config.Account, id string) string { return a.Name + "/" + id }
 
-// place finds the one sidecar that may run the call: the home of the caller's
-// key, the incarnation a ticket names, or, without an identifier, a ticket
-// made here.
-func (e *Entry) place(r callerRequest, run *quarantine.Run, pool *config.Pool, call sidecar.Call) (place, *apiError) {
+// placeCall determines the only sidecar that may run the call. For a caller's idempotency key that is the
+// home of the key, for a ticket the incarnation named in it. A call without either gets a new ticket here.
+func (e *Entry) placeCall(r callerRequest, run *quarantine.Run, pool *config.Pool, call sidecar.Call) (placedCall, *apiError) {
 	text := r.Header.Get(headerKey)
 	if text == "" {
-		return e.placeNew(r, run, pool, call)
+		return e.placeNewCall(r, run, pool, call)
 	}
 	id, err := callid.Parse(text)
 	if err != nil {
-		return place{}, errBadBody.with(err.Error()).about(headerKey)
+		return placedCall{}, errBadBody.withMessage(err.Error()).withParam(headerKey)
 	}
-	call.ID = callKey(r.account, id.String())
-	p, _ := e.set.Upstream(e.responsible(id, pool))
-	return place{call: call, id: id, peer: p}, nil
+	call.ID = accountCallID(r.account, id.String())
+	p, _ := e.set.Upstream(e.responsibleUpstream(id, pool))
+	return placedCall{call: call, id: id, peer: p}, nil
 }
 
-func (e *Entry) responsible(id callid.ID, pool *config.Pool) string {
+// responsibleUpstream returns the upstream that may run the call with an ID.
+func (e *Entry) responsibleUpstream(id callid.ID, pool *config.Pool) string {
 	if id.Ticket() {
 		return id.Upstream()
 	}
 	return callid.Home(id.String(), pool)
 }
 
-func (e *Entry) placeNew(r callerRequest, run *quarantine.Run, pool *config.Pool, call sidecar.Call) (place, *apiError) {
-	peers := e.isolated(run, e.route(pool))
+// placeNewCall chooses an upstream for a call without an ID and creates a ticket for it.
+func (e *Entry) placeNewCall(r callerRequest, run *quarantine.Run, pool *config.Pool, call sidecar.Call) (placedCall, *apiError) {
+	peers := e.isolatePeers(run, e.route(pool))
 	switch {
 	case len(peers) == 0 && run.Isolation() == quarantine.Apart:
-		return place{}, errOnTrial
+		return placedCall{}, errOnTrial
 	case len(peers) == 0:
-		return place{}, errNoUpstream
+		return placedCall{}, errNoUpstream
 	}
 	i := peers[0].Identity()
 	id := callid.NewTicket(i.Upstream(), i.Incarnation())
-	call.ID = callKey(r.account, id.String())
-	return place{call: call, id: id, peer: peers[0]}, nil
+	call.ID = accountCallID(r.account, id.String())
+	return placedCall{call: call, id: id, peer: peers[0]}, nil
 }
 
-// runOnce sends the call once. After a lost link it asks what became of it;
-// it never sends it again.
-func (e *Entry) runOnce(r callerRequest, run *quarantine.Run, pl place) sidecar.Result {
+// runOnce sends the call once and never again. If no answer arrives, it queries the outcome of the call.
+func (e *Entry) runOnce(r callerRequest, run *quarantine.Run, pl placedCall) sidecar.Result {
 	if pl.peer == nil {
 		return sidecar.NewResult(sidecar.Unknown, "the upstream responsible for the identifier cannot be reached")
 	}
 	e.rec.Note(events.RequestRouted, r.id, "upstream", pl.peer.Identity().Upstream(), "call", pl.call.ID)
 	ctx, cancel := context.WithDeadline(r.Context(), pl.call.StartBy)
 	defer cancel()
-	sent := pl.peer.Identity()
+	sentTo := pl.peer.Identity()
 	res, err := e.client.Invoke(ctx, pl.peer, pl.call)
 	if err == nil {
 		return res
 	}
-	e.sidecarLost(run, pl.peer, sent, err)
+	e.reportLostSidecar(run, pl.peer, sentTo, err)
 	if errors.Is(err, peer.ErrUnreachable) && r.Header.Get(headerKey) == "" {
-		// The identifier was made here and nothing was sent under it.
+		// The ID was created for this request, and nothing was sent under it.
 		return sidecar.NewResult(sidecar.NotRun, err.Error())
 	}
-	return e.settle(r, pl)
+	return e.queryOutcome(r, pl)
 }
 
-// settle asks the responsible sidecar what became of a call.
-func (e *Entry) settle(r callerRequest, pl place) sidecar.Result {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), settleTimeout)
+// queryOutcome asks the responsible sidecar for the outcome of a call, and retries until the sidecar answers
+// or outcomeTimeout has passed.
+func (e *Entry) queryOutcome(r callerRequest, pl placedCall) sidecar.Result {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), outcomeTimeout)
 	defer cancel()
 	last := fmt.Errorf("%w: no connection", peer.ErrUnreachable)
 	for {
-		if p, ok := e.set.Upstream(e.responsibleNow(pl)); ok {
+		if p, ok := e.set.Upstream(e.currentResponsibleUpstream(pl)); ok {
 			res, err := e.client.Settle(ctx, p, pl.call)
 			if err == nil {
 				return res
@@ -186,12 +188,14 @@
 		select {
 		case <-ctx.Done():
 			return sidecar.NewResult(sidecar.Unknown, fmt.Sprintf("the upstream did not answer: %v", last))
-		case <-time.After(resumePause):
+		case <-time.After(sidecarRetryDelay):
 		}
 	}
 }
 
-func (e *Entry) responsibleNow(pl place) string {
+// currentResponsibleUpstream returns the upstream that is responsible for a call by the active configuration,
+// which may have changed since the call was sent.
+func (e *Entry) currentResponsibleUpstream(pl placedCall) string {
 	if pl.id.Ticket() {
 		return pl.id.Upstream()
 	}
@@ -202,27 +206,28 @@
 	return callid.Home(pl.id.String(), pool)
 }
 
-// runRepeatable tries upstreams in turn, within the retry budget.
+// runRepeatable sends a call that may run more than once to one upstream after another, within the retry
+// budget, until one of them has run the call.
 func (e *Entry) runRepeatable(r callerRequest, run *quarantine.Run, pool *config.Pool, call sidecar.Call) sidecar.Result {
 	ctx, cancel := context.WithDeadline(r.Context(), call.StartBy)
 	defer cancel()
-	e.budget(pool.Name).Request()
+	e.retryBudget(pool.Name).Request()
 	res := sidecar.NewRefusal("no upstream can take the call", e.retryAt(pool))
-	for i, p := range e.isolated(run, e.route(pool)) {
-		if i >= e.settings.Attempts || !run.MaySend() || (i > 0 && (!run.MayRepeat() || !e.budget(pool.Name).Retry())) {
+	for i, p := range e.isolatePeers(run, e.route(pool)) {
+		if i >= e.settings.Attempts || !run.MaySend() || (i > 0 && (!run.MayRepeat() || !e.retryBudget(pool.Name).Retry())) {
 			break
 		}
 		if i > 0 {
-			e.met.retries.Inc()
+			e.metrics.retries.Inc()
 		}
 		run.SentTo(p.Identity().Upstream())
 		e.rec.Note(events.RequestRouted, r.id, "upstream", p.Identity().Upstream())
-		sent := p.Identity()
+		sentTo := p.Identity()
 		got, err := e.client.Invoke(ctx, p, call)
 		if err == nil {
-			e.settleCall(run, got)
+			e.reportResult(run, got)
 		}
-		e.sidecarLost(run, p, sent, err)
+		e.reportLostSidecar(run, p, sentTo, err)
 		switch {
 		case err == nil && got.Outcome() == sidecar.Done:
 			return got
@@ -235,19 +240,19 @@
 	return res
 }
 
-// answerCall says what became of a call.
+// answerCall writes the result of a call, or an error with its outcome.
 func (e *Entry) answerCall(w http.ResponseWriter, r callerRequest, res sidecar.Result) {
-	e.met.requests.WithLabelValues("call-" + string(res.Outcome())).Inc()
+	e.metrics.requests.WithLabelValues("call-" + string(res.Outcome())).Inc()
 	e.rec.Note(events.RequestEnded, r.id, "outcome", res.Outcome(), "reason", res.Reason())
 	switch {
 	case res.Outcome() == sidecar.NotRun:
 		retryAt := res.RetryAt()
 		if retryAt.IsZero() {
-			retryAt = e.now().Add(overloadRetry)
+			retryAt = e.now().Add(defaultRetryDelay)
 		}
-		writeError(w, errNotRun.with("the call was not run: "+res.Reason()), sidecar.NotRun, retryAt, e.now())
+		writeError(w, errNotRun.withMessage("the call was not run: "+res.Reason()), sidecar.NotRun, retryAt, e.now())
 	case res.Outcome() == sidecar.Unknown:
-		writeError(w, errUnknown.with("it is not known whether the call ran: "+res.Reason()), sidecar.Unknown, e.now().Add(overloadRetry), e.now())
+		writeError(w, errUnknown.withMessage("it is not known whether the call ran: "+res.Reason()), sidecar.Unknown, e.now().Add(defaultRetryDelay), e.now())
 	default:
 		writeAnswer(w, res)
 	}
@@ -255,7 +260,7 @@
 
 func writeAnswer(w http.ResponseWriter, res sidecar.Result) {
 	h := w.Header()
-	for k, v := range passedHeaders(res.Header()) {
+	for k, v := range forwardedHeaders(res.Header()) {
 		h[k] = v
 	}
 	h.Del("Content-Length")
@@ -272,9 +277,9 @@
 	Ticket string `json:"ticket"`
 }
 
-// mintTicket makes an identifier for a call, so that the caller knows it
-// before the call and can ask again whatever happens.
-func (e *Entry) mintTicket(w http.ResponseWriter, r callerRequest) {
+// createTicket creates the ID of a call in advance, so that the caller can query the outcome even if the
+// answer to the call is lost.
+func (e *Entry) createTicket(w http.ResponseWriter, r callerRequest) {
 	pool, ok := e.servicePool(r)
 	if !ok {
 		e.refuse(w, r.id, errNoPool, time.Time{})
@@ -289,7 +294,7 @@
 	writeJSON(w, http.StatusOK, ticketBody{Ticket: callid.NewTicket(i.Upstream(), i.Incarnation()).String()})
 }
 
-// getCall answers what became of a call.
+// getCall writes the outcome of an earlier call.
 func (e *Entry) getCall(w http.ResponseWriter, r callerRequest) {
 	pool, ok := e.servicePool(r)
 	if !ok {
@@ -298,10 +303,10 @@
 	}
 	id, err := callid.Parse(mux.Vars(r.Request)["id"])
 	if err != nil {
-		e.refuse(w, r.id, errBadBody.with(err.Error()), time.Time{})
+		e.refuse(w, r.id, errBadBody.withMessage(err.Error()), time.Time{})
 		return
 	}
-	pl := place{id: id, call: sidecar.Call{Request: r.id, ID: callKey(r.account, id.String()), Pool: pool.Name, Version: r.active.Version()}}
+	pl := placedCall{id: id, call: sidecar.Call{Request: r.id, ID: accountCallID(r.account, id.String()), Pool: pool.Name, Version: r.active.Version()}}
 	w.Header().Set(headerCall, id.String())
-	e.answerCall(w, r, e.settle(r, pl))
+	e.answerCall(w, r, e.queryOutcome(r, pl))
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -211,9 +211,9 @@
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
 mutant held-sidecar-starts internal/sidecar/starts.go 's/s\.n, s\.down = s\.n\+1, false/s.down = false/' internal/sidecar TestStartsOfTheUpstream
-mutant held-entry-generation internal/entry/completions.go 's/\t\te\.lost\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
+mutant held-entry-generation internal/entry/completions.go 's/\t\te\.reportCrash\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.starts\.endedUnder\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
-mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(start\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
+mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(incarnation\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 
 mutant stop-noticed-late internal/daemon/gatewayhttp.go 's/told, earliest = b\.watch\.earliest\(\), /told, earliest = time.Now(), /' internal/daemon TestToldToStop
