--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -211,9 +211,9 @@
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
 mutant held-sidecar-starts internal/sidecar/starts.go 's/u\.restarts, u\.down = u\.restarts\+1, false/u.down = false/' internal/sidecar TestUpstreamIncarnations
-mutant held-entry-generation internal/entry/completions.go 's/\t\te\.lost\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
+mutant held-entry-generation internal/entry/completions.go 's/\t\te\.reportCrash\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.incarnations\.endedDuring\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
-mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(start\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
+mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(incarnation\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 
 mutant stop-noticed-late internal/daemon/gatewayhttp.go 's/told, earliest = b\.watch\.earliest\(\), /told, earliest = time.Now(), /' internal/daemon TestToldToStop
@@ -330,7 +330,7 @@
 mutant head-content internal/rollout/restore.go 's/return c\.putObject\(ctx, cfg\.Hash\(\), cfg\.Canonical\(\)\)/return nil/' internal/rollout TestMarkOfTheHead
 mutant head-value internal/rollout/coordinator.go 's/, Was: before\.Value\}, nil/}, nil/' internal/rollout TestRevisionGivenOutAgain
 mutant lease-known internal/lease/lease.go 's/if stored\.Fence >= l\.fence \{/if true {/' internal/lease TestHolderAfter
-mutant lease-first internal/lease/lease.go 's/l\.first = before == 0 && l\.fence == 0/l.first = before == 0/' internal/lease TestLapsedHolder
+mutant lease-first internal/lease/lease.go 's/l\.first = previousRevision == 0 && l\.fence == 0/l.first = previousRevision == 0/' internal/lease TestLapsedHolder
 mutant lease-lapsed internal/lease/lease.go 's/if now\.Before\(l\.until\) \{/if true {/' internal/lease TestLapsedHolder
 
 mutant held-covered internal/quarantine/verdict.go 's/return o\.withoutCovered\(ambiguous\)/return ambiguous/' $held TestHarmlessRequestCovered
