--- a/internal/connlimit/answerwriter.go
+++ b/internal/connlimit/answerwriter.go
@@ -2,41 +2,44 @@
 
 import "net/http"
 
-// answerWriter is an answer while it is written. One that begins in a stop says that it is the
-// last on its connection: a caller that is not told sends its next request into the close.
-type answerWriter struct {
+// responseWriter wraps the ResponseWriter of a request and records whether the response has
+// started. A response that starts during a planned stop gets the header "Connection: close":
+// without it, the caller would send its next request on a connection that is about to close.
+type responseWriter struct {
 	http.ResponseWriter
 	limiter *Limiter
-	begun   bool
+	started bool
 }
 
-// Begun reports whether an answer has begun, or may have where that is not known.
+// Begun reports whether the response has started. It returns true for a ResponseWriter of another
+// type, for which this is unknown.
 func Begun(w http.ResponseWriter) bool {
-	a, ok := w.(*answerWriter)
-	return !ok || a.begun
+	rw, ok := w.(*responseWriter)
+	return !ok || rw.started
 }
 
-// WriteHeader begins the answer.
-func (a *answerWriter) WriteHeader(status int) {
-	a.begin(status)
-	a.ResponseWriter.WriteHeader(status)
+// WriteHeader starts the response.
+func (w *responseWriter) WriteHeader(status int) {
+	w.start(status)
+	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body, and begins the answer if nothing has.
-func (a *answerWriter) Write(b []byte) (int, error) {
-	a.begin(http.StatusOK)
-	return a.ResponseWriter.Write(b)
+// Write writes a part of the body. It starts the response with status 200 if WriteHeader was not
+// called.
+func (w *responseWriter) Write(b []byte) (int, error) {
+	w.start(http.StatusOK)
+	return w.ResponseWriter.Write(b)
 }
 
-// Unwrap returns the server's own writer, for http.ResponseController.
-func (a *answerWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap returns the ResponseWriter of net/http, for http.ResponseController.
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (a *answerWriter) begin(status int) {
-	if a.begun || status < http.StatusOK {
+func (w *responseWriter) start(status int) {
+	if w.started || status < http.StatusOK {
 		return
 	}
-	a.begun = true
-	if a.limiter.stops() {
-		a.Header().Set("Connection", "close")
+	w.started = true
+	if w.limiter.isDraining() {
+		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -11,73 +11,75 @@
 	"time"
 )
 
-// phase tells what a connection waits for.
+// phase is the state of a connection, which selects the limit that applies to it.
 type phase int
 
 const (
-	// opening: the first request of a new connection.
-	opening phase = iota
-	// idle: the first byte of another request.
-	idle
-	// headers: the rest of the headers of that one.
-	headers
-	// serving: the answer; no limit of this package holds.
-	serving
+	// phaseNew: waiting for the first request of a new connection.
+	phaseNew phase = iota
+	// phaseIdle: waiting for the first byte of a later request.
+	phaseIdle
+	// phaseHeaders: reading the rest of the headers of a request.
+	phaseHeaders
+	// phaseServing: the request is served. No limit of this package applies.
+	phaseServing
 )
 
-// The reasons for which connections are ended.
+// The reasons for which a Limiter closes connections, as written to the log.
 const (
-	whyHeaders = "headers took too long"
-	whyIdle    = "idle for too long"
-	whyStop    = "this entry stops"
+	reasonHeaderTimeout = "headers took too long"
+	reasonIdleTimeout   = "idle for too long"
+	reasonStopping      = "this entry stops"
 )
 
 const (
-	// openInStop is how long a new connection has for its first request in a planned
-	// stop: callers give a connection up that does not serve them within a second.
-	openInStop = time.Second
-	// headersInStop is how long headers that have begun may take then: some retransmits.
-	// What stops after the connections needs time as well.
-	headersInStop = 2 * time.Second
+	// firstRequestTimeoutInStop is how long a new connection may take to send its first request
+	// during a planned stop. Callers give up a connection that does not serve them within a second.
+	firstRequestTimeoutInStop = time.Second
+	// headerTimeoutInStop is how long the headers of a request may take during a planned stop once
+	// their first byte has arrived. It leaves time for a few retransmissions. It is short because
+	// the services that stop after the connections need part of the stop time.
+	headerTimeoutInStop = 2 * time.Second
 )
 
-// Conn is a caller's connection. It keeps what net/http tells nobody: whether this
-// process ended the connection, and why, and which request an answer that could not be
-// written belongs to.
+// Conn is the connection of a caller. It records what net/http does not expose: whether and why
+// this process closed the connection, and which request a response that could not be written
+// belongs to.
 type Conn struct {
 	*net.TCPConn
 	limiter *Limiter
 
 	mu    sync.Mutex
 	phase phase
-	// since is when the phase began, and bound the server's own limit for its reads.
-	since   time.Time
-	bound   time.Time
-	request string
-	why     string
-	failed  bool
+	// phaseSince is when the phase began. serverDeadline is the read deadline that the HTTP server
+	// set itself.
+	phaseSince     time.Time
+	serverDeadline time.Time
+	request        string
+	endReason      string
+	writeFailed    bool
 }
 
-// connKey is the key of the connection in the context of its requests.
-type connKey struct{}
+// connContextKey is the key of the connection in the contexts of its requests.
+type connContextKey struct{}
 
-// From returns the connection that a request came on, nil if it is not known.
+// From returns the connection that a request arrived on, or nil if its server has no Limiter.
 func From(ctx context.Context) *Conn {
-	c, _ := ctx.Value(connKey{}).(*Conn)
+	c, _ := ctx.Value(connContextKey{}).(*Conn)
 	return c
 }
 
-// Begin names the request that is served from now on.
+// Begin sets the identifier of the request that is served from now on.
 func (c *Conn) Begin(request string) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.request, c.failed = request, false
+	c.request, c.writeFailed = request, false
 }
 
-// Caller returns the caller's address, empty if it is not known.
+// Caller returns the address of the caller, or an empty string if it is unknown.
 func (c *Conn) Caller() string {
 	if c == nil {
 		return ""
@@ -85,79 +87,81 @@
 	return c.RemoteAddr().String()
 }
 
-// EndedHere returns why this process ended the connection; empty if it did not.
+// EndedHere returns the reason for which this process closed the connection, or an empty string if
+// it did not close it.
 func (c *Conn) EndedHere() string {
 	if c == nil {
 		return ""
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.why
+	return c.endReason
 }
 
-// enter notes what the connection waits for from now on.
+// enter moves the connection to a phase and sets the read deadline for it.
 func (c *Conn) enter(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.since, c.bound = p, time.Now(), time.Time{}
-	if p == idle {
+	c.phase, c.phaseSince, c.serverDeadline = p, time.Now(), time.Time{}
+	if p == phaseIdle {
 		c.request = ""
 	}
-	// While a request is served there is no limit: the one set was for its headers.
-	limit, _ := c.limit()
-	_ = c.TCPConn.SetReadDeadline(limit)
+	// The HTTP server set the current deadline for the headers. It is cleared while the request is
+	// served.
+	deadline, _ := c.deadline()
+	_ = c.TCPConn.SetReadDeadline(deadline)
 }
 
-// SetReadDeadline sets when a read gives up: at the time that the server wants or, while
-// a request is awaited, at the limit in force if that is earlier.
+// SetReadDeadline sets the read deadline that the HTTP server asks for. While the connection waits
+// for a request, the limit in force applies instead if it expires earlier.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == serving {
+	if c.phase == phaseServing {
 		return c.TCPConn.SetReadDeadline(t)
 	}
-	c.bound = t
-	limit, _ := c.limit()
-	return c.TCPConn.SetReadDeadline(limit)
+	c.serverDeadline = t
+	deadline, _ := c.deadline()
+	return c.TCPConn.SetReadDeadline(deadline)
 }
 
-// limit returns when a connection is ended that still waits for the same, and why; the
-// zero time for no limit. It needs the lock.
-func (c *Conn) limit() (at time.Time, why string) {
-	if c.phase == serving {
+// deadline returns the time at which the connection is closed if it is still in this phase, and the
+// reason. The zero time means that there is no limit. The caller must hold c.mu.
+func (c *Conn) deadline() (at time.Time, reason string) {
+	if c.phase == phaseServing {
 		return time.Time{}, ""
 	}
 	limits := c.limiter.limits()
-	at, why = earlier(after(c.since, limits.Header), c.bound), whyHeaders
-	if c.phase == idle {
-		at, why = earlier(after(c.since, limits.Idle), c.bound), whyIdle
+	at, reason = earlier(deadlineAfter(c.phaseSince, limits.Header), c.serverDeadline), reasonHeaderTimeout
+	if c.phase == phaseIdle {
+		at, reason = earlier(deadlineAfter(c.phaseSince, limits.Idle), c.serverDeadline), reasonIdleTimeout
 	}
-	if !c.limiter.stops() {
-		return at, why
+	if !c.limiter.isDraining() {
+		return at, reason
 	}
-	most := c.since
+	stopDeadline := c.phaseSince
 	switch c.phase {
-	case opening:
-		most = c.since.Add(openInStop)
-	case headers:
-		most = c.since.Add(headersInStop)
-	case idle, serving:
+	case phaseNew:
+		stopDeadline = c.phaseSince.Add(firstRequestTimeoutInStop)
+	case phaseHeaders:
+		stopDeadline = c.phaseSince.Add(headerTimeoutInStop)
+	case phaseIdle, phaseServing:
 	}
-	if at.IsZero() || most.Before(at) {
-		return most, whyStop
+	if at.IsZero() || stopDeadline.Before(at) {
+		return stopDeadline, reasonStopping
 	}
-	return at, why
+	return at, reason
 }
 
-// after returns the end of a limit; the zero time for none.
-func after(since time.Time, within time.Duration) time.Time {
-	if within <= 0 {
+// deadlineAfter returns the time at which a timeout expires, or the zero time if no timeout is set.
+func deadlineAfter(start time.Time, timeout time.Duration) time.Time {
+	if timeout <= 0 {
 		return time.Time{}
 	}
-	return since.Add(within)
+	return start.Add(timeout)
 }
 
-// earlier returns the earlier of two times; the zero time stands for none.
+// earlier returns the earlier of two times. The zero time means that there is no limit.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -165,55 +169,57 @@
 	return a
 }
 
-// wake makes a waiting read look at the limits anew.
-func (c *Conn) wake() {
+// recheckDeadline makes a blocked read return and compute its deadline again.
+func (c *Conn) recheckDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != serving {
+	if c.phase != phaseServing {
 		_ = c.TCPConn.SetReadDeadline(time.Now())
 	}
 }
 
-// Read reads what the caller sent. A limit that is over ends the connection only if
-// nothing has come by then: a process that did not get to run for a while finds the limit
-// and the next request due at once.
+// Read reads what the caller sent. If the limit has expired, it closes the connection only if no
+// data has arrived by then: in a process that was not scheduled for a while, the limit expires and
+// the next request arrives at the same time.
 func (c *Conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.TCPConn.Read(b)
-		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.waits() {
-			if c.extend() {
+		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.awaitsRequest() {
+			if c.extendDeadline() {
 				continue
 			}
-			n, err = c.lastLook(b, err)
+			n, err = c.finalRead(b, err)
 		}
 		if n > 0 {
-			c.received()
+			c.noteReceived()
 		}
 		return n, err
 	}
 }
 
-// waits reports whether a request is awaited.
-func (c *Conn) waits() bool {
+// awaitsRequest reports whether the connection waits for a request or its headers.
+func (c *Conn) awaitsRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.phase != serving
+	return c.phase != phaseServing
 }
 
-// extend goes on waiting if the limit was raised meanwhile or is another one now.
-func (c *Conn) extend() bool {
+// extendDeadline sets the current deadline and returns true if that deadline is in the future,
+// because the limit was raised or the phase has changed.
+func (c *Conn) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit, _ := c.limit()
-	if !limit.IsZero() && !limit.After(time.Now()) {
+	deadline, _ := c.deadline()
+	if !deadline.IsZero() && !deadline.After(time.Now()) {
 		return false
 	}
-	return c.TCPConn.SetReadDeadline(limit) == nil
+	return c.TCPConn.SetReadDeadline(deadline) == nil
 }
 
-// lastLook reads what has come although the time is over. If there is nothing it ends the
-// connection, before the server answers headers that are not whole, and returns late.
-func (c *Conn) lastLook(b []byte, late error) (int, error) {
+// finalRead reads without blocking after the limit has expired. If there is no data, it closes the
+// connection and returns timeoutErr. The connection must be closed here because the HTTP server
+// would otherwise send an error response to incomplete headers.
+func (c *Conn) finalRead(b []byte, timeoutErr error) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -221,7 +227,7 @@
 	var n int
 	readErr := error(syscall.EINTR)
 	for err == nil && errors.Is(readErr, syscall.EINTR) {
-		// Control does not mind the deadline, as Read of a RawConn does.
+		// Unlike RawConn.Read, Control ignores the read deadline.
 		err = raw.Control(func(fd uintptr) { n, _, readErr = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT) })
 	}
 	switch {
@@ -236,42 +242,43 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, c.why = c.limit()
+	_, c.endReason = c.deadline()
 	_ = c.Close()
-	return 0, late
+	return 0, timeoutErr
 }
 
-// received notes that bytes of a request have come. The limit for the headers of the
-// first one runs from the connection's start.
-func (c *Conn) received() {
+// noteReceived moves the connection to phaseHeaders when the first bytes of a request arrive. For
+// the first request, the limit for the headers runs from the start of the connection.
+func (c *Conn) noteReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch c.phase {
-	case idle:
-		c.phase, c.since = headers, time.Now()
-		limit, _ := c.limit()
-		_ = c.TCPConn.SetReadDeadline(limit)
-	case opening:
-		c.phase = headers
-	case headers, serving:
+	case phaseIdle:
+		c.phase, c.phaseSince = phaseHeaders, time.Now()
+		deadline, _ := c.deadline()
+		_ = c.TCPConn.SetReadDeadline(deadline)
+	case phaseNew:
+		c.phase = phaseHeaders
+	case phaseHeaders, phaseServing:
 	}
 }
 
-// Write writes a part of an answer and reports the first one that cannot be written.
+// Write writes a part of a response. The first failed write of a request is reported to the
+// Limiter.
 func (c *Conn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
 	if err != nil {
-		c.fail(err)
+		c.noteWriteError(err)
 	}
 	return n, err
 }
 
-func (c *Conn) fail(err error) {
+func (c *Conn) noteWriteError(err error) {
 	c.mu.Lock()
-	request, again := c.request, c.failed
-	c.failed = true
+	request, reported := c.request, c.writeFailed
+	c.writeFailed = true
 	c.mu.Unlock()
-	if request != "" && !again {
-		c.limiter.undelivered(c, request, err)
+	if request != "" && !reported {
+		c.limiter.onUndelivered(c, request, err)
 	}
 }
--- a/internal/connlimit/conn_test.go
+++ b/internal/connlimit/conn_test.go
@@ -9,21 +9,21 @@
 	"testing"
 )
 
-// TestAnswerThatCannotBeWritten covers what is told of a caller that ends its connection
-// before its answer is written.
-func TestAnswerThatCannotBeWritten(t *testing.T) {
-	asked, left := make(chan struct{}), make(chan struct{})
-	told := make(chan string, 1)
+// TestUndeliveredAnswerIsReported covers a caller that resets its connection before the response is
+// written.
+func TestUndeliveredAnswerIsReported(t *testing.T) {
+	received, disconnected := make(chan struct{}), make(chan struct{})
+	reported := make(chan string, 1)
 	l := New(func() Limits { return Limits{} }, func(net.Conn, string) {}, func(c *Conn, request string, err error) {
 		if err == nil || c.Caller() == "" || c.EndedHere() != "" {
-			t.Errorf("told of %v by %q, ended here for %q", err, c.Caller(), c.EndedHere())
+			t.Errorf("onUndelivered called with error %v, caller %q, end reason %q", err, c.Caller(), c.EndedHere())
 		}
-		told <- request
+		reported <- request
 	})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		From(r.Context()).Begin("request-1")
-		close(asked)
-		<-left
+		close(received)
+		<-disconnected
 		<-r.Context().Done()
 		_, _ = io.WriteString(w, "too late")
 	}))
@@ -37,20 +37,21 @@
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-asked
+	<-received
 	// A reset makes the first write fail.
 	if err := c.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.Close()
-	close(left)
-	if got := <-told; got != "request-1" {
-		t.Errorf("told of %q", got)
+	close(disconnected)
+	if got := <-reported; got != "request-1" {
+		t.Errorf("onUndelivered called for request %q", got)
 	}
 }
 
-// TestConnectionOfARequest covers servers without a Limiter.
-func TestConnectionOfARequest(t *testing.T) {
+// TestFromWithoutLimiter covers servers without a Limiter: From returns nil, and the methods of a
+// nil Conn work.
+func TestFromWithoutLimiter(t *testing.T) {
 	got := make(chan *Conn, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got <- From(r.Context()) }))
 	defer s.Close()
@@ -63,6 +64,6 @@
 	c := <-got
 	c.Begin("request")
 	if c != nil || c.Caller() != "" || c.EndedHere() != "" {
-		t.Errorf("got a connection: %v", c)
+		t.Errorf("From returned a connection: %v", c)
 	}
 }
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,11 +1,11 @@
-// Package connlimit ends callers' connections that take too long over the headers of a
-// request or stay idle too long, and all that wait for a request in a planned stop.
-// net/http fixes such times when a server starts; here they follow the operator's
-// configuration.
+// Package connlimit closes connections of callers that take too long to send the headers of a
+// request or stay idle for too long. In a planned stop it also closes all connections that wait for
+// a request. The HTTP servers of package daemon install a Limiter; net/http fixes such timeouts
+// when a server starts, whereas a Limiter follows the configuration of the operator.
 //
-// Only the goroutine that reads a connection ends it, when its read comes back with
-// nothing: a timer beside it, or a server's Shutdown, ends connections whose request has
-// just been read.
+// Only the goroutine that reads a connection closes it, when a read returns no data. A separate
+// timer, or Shutdown of http.Server, could close a connection whose next request has just been
+// read.
 package connlimit
 
 import (
@@ -20,64 +20,65 @@
 	"time"
 )
 
-// Limits are the times that a connection may take; 0 stands for no limit.
+// Limits are the timeouts of a connection. 0 means no limit.
 type Limits struct {
-	// Header is for a new connection until the headers of its first request are read,
-	// and for the headers of later requests from their first byte on.
+	// Header applies to a new connection until the headers of its first request are read, and to
+	// the headers of later requests from their first byte on.
 	Header time.Duration
-	// Idle is for the time between two requests.
+	// Idle applies to the time between two requests.
 	Idle time.Duration
 }
 
-// Limiter watches the connections of one server.
+// Limiter applies limits to the connections of one server.
 type Limiter struct {
-	limits      func() Limits
-	ended       func(c net.Conn, why string)
-	undelivered func(c *Conn, request string, err error)
+	limits        func() Limits
+	onEnd         func(c net.Conn, why string)
+	onUndelivered func(c *Conn, request string, err error)
 
 	mu       sync.Mutex
-	listener *conns
+	listener *limitedListener
 	conns    map[*Conn]bool
-	// accepted is set once no more connections come.
-	accepted bool
-	// draining is closed when a planned stop ends connections, and none once no
-	// connection is left then.
+	// acceptDone is set once the listener accepts no more connections.
+	acceptDone bool
+	// draining is closed when a planned stop begins to close connections. drained is closed when
+	// the last connection has closed after that.
 	draining  chan struct{}
-	none      chan struct{}
+	drained   chan struct{}
 	drainOnce sync.Once
 }
 
-// New returns a Limiter; limits gives the times in force, ended is told of each
-// connection that is ended, and why, and undelivered of the first part of an answer
-// that cannot be written.
-func New(limits func() Limits, ended func(c net.Conn, why string), undelivered func(c *Conn, request string, err error)) *Limiter {
-	return &Limiter{limits: limits, ended: ended, undelivered: undelivered, conns: map[*Conn]bool{}, draining: make(chan struct{}), none: make(chan struct{})}
+// New returns a Limiter. limits returns the limits in force. onEnd is called for each connection
+// that the Limiter closed, with the reason. onUndelivered is called for the first write of a
+// response that fails.
+func New(limits func() Limits, onEnd func(c net.Conn, why string), onUndelivered func(c *Conn, request string, err error)) *Limiter {
+	return &Limiter{limits: limits, onEnd: onEnd, onUndelivered: onUndelivered, conns: map[*Conn]bool{}, draining: make(chan struct{}), drained: make(chan struct{})}
 }
 
-// Install makes a server obey the limits and returns the listener that it is to serve.
-// A server calls a connection active once it has read the headers of a request. In a
-// stop each answer is the last one on its connection, and says so.
+// Install applies the limits to a server and returns the listener that the server must serve. The
+// server reports a connection as active once it has read the headers of a request. In a planned
+// stop, each response is the last one on its connection and carries "Connection: close".
 func (l *Limiter) Install(s *http.Server, listener net.Listener) net.Listener {
 	handler := s.Handler
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		handler.ServeHTTP(&answerWriter{ResponseWriter: w, limiter: l}, r)
+		handler.ServeHTTP(&responseWriter{ResponseWriter: w, limiter: l}, r)
 	})
-	s.ConnState = l.state
+	s.ConnState = l.connStateChanged
 	s.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, connKey{}, c)
+		return context.WithValue(ctx, connContextKey{}, c)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.listener = &conns{Listener: listener, limiter: l, ended: make(chan struct{})}
+	l.listener = &limitedListener{Listener: listener, limiter: l, done: make(chan struct{})}
 	return l.listener
 }
 
-// Drain takes no new connections, ends those that wait for a request, and the others as
-// soon as they do. It returns when none is left or ctx ends, and may be called again then.
+// Drain closes the listener and the connections that wait for a request. Connections with a request
+// in flight are closed after their response. Drain returns when no connection is left or ctx ends;
+// it may be called again to continue waiting.
 func (l *Limiter) Drain(ctx context.Context) error {
 	l.drainOnce.Do(l.beginDrain)
 	select {
-	case <-l.none:
+	case <-l.drained:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("connections with requests in flight: %w", ctx.Err())
@@ -89,36 +90,36 @@
 	listener := l.listener
 	l.mu.Unlock()
 	close(l.draining)
-	for _, c := range l.open() {
-		c.wake()
+	for _, c := range l.openConns() {
+		c.recheckDeadline()
 	}
 	if listener != nil {
 		_ = listener.Close()
 	}
 	go func() {
-		// A connection that is being accepted is not among those that are open yet.
+		// A connection that is being accepted is not in l.conns yet.
 		if listener != nil {
-			<-listener.ended
+			<-listener.done
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.accepted = true
-		l.checkNone()
+		l.acceptDone = true
+		l.checkDrained()
 	}()
 }
 
-// open returns the connections there are.
-func (l *Limiter) open() []*Conn {
+// openConns returns the open connections.
+func (l *Limiter) openConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.conns))
 }
 
-// Open returns the number of connections there are.
-func (l *Limiter) Open() int { return len(l.open()) }
+// Open returns the number of open connections.
+func (l *Limiter) Open() int { return len(l.openConns()) }
 
-// stops reports whether a planned stop ends connections.
-func (l *Limiter) stops() bool {
+// isDraining reports whether a planned stop closes connections.
+func (l *Limiter) isDraining() bool {
 	select {
 	case <-l.draining:
 		return true
@@ -127,7 +128,7 @@
 	}
 }
 
-func (l *Limiter) state(nc net.Conn, state http.ConnState) {
+func (l *Limiter) connStateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*Conn)
 	if !ok {
 		return
@@ -135,59 +136,60 @@
 	switch state {
 	case http.StateNew:
 	case http.StateActive:
-		c.enter(serving)
+		c.enter(phaseServing)
 	case http.StateIdle:
-		c.enter(idle)
+		c.enter(phaseIdle)
 	case http.StateClosed, http.StateHijacked:
 		l.forget(c)
 	}
 }
 
-// add watches a new connection.
-func (l *Limiter) add(c *net.TCPConn) *Conn {
-	out := &Conn{TCPConn: c, limiter: l}
-	out.enter(opening)
+// track adds a new connection.
+func (l *Limiter) track(c *net.TCPConn) *Conn {
+	conn := &Conn{TCPConn: c, limiter: l}
+	conn.enter(phaseNew)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conns[out] = true
-	return out
+	l.conns[conn] = true
+	return conn
 }
 
 func (l *Limiter) forget(c *Conn) {
-	if why := c.EndedHere(); why != "" {
-		l.ended(c, why)
+	if reason := c.EndedHere(); reason != "" {
+		l.onEnd(c, reason)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
-	l.checkNone()
+	l.checkDrained()
 }
 
-// checkNone notes that no connection is left in a stop. It needs the lock.
-func (l *Limiter) checkNone() {
-	if l.accepted && len(l.conns) == 0 {
+// checkDrained closes l.drained once no connection is left in a planned stop. The caller must hold
+// l.mu.
+func (l *Limiter) checkDrained() {
+	if l.acceptDone && len(l.conns) == 0 {
 		select {
-		case <-l.none:
+		case <-l.drained:
 		default:
-			close(l.none)
+			close(l.drained)
 		}
 	}
 }
 
-// conns accepts callers' connections.
-type conns struct {
+// limitedListener accepts connections of callers and adds them to a Limiter.
+type limitedListener struct {
 	net.Listener
 	limiter *Limiter
-	// ended is closed once Accept returns no more connections.
-	ended chan struct{}
-	once  sync.Once
+	// done is closed once Accept returns no more connections.
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// Accept waits for the next connection.
-func (l *conns) Accept() (net.Conn, error) {
+// Accept waits for the next connection and adds it to the Limiter.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
-		l.once.Do(func() { close(l.ended) })
+		l.closeOnce.Do(func() { close(l.done) })
 	}
 	if err != nil {
 		return nil, err
@@ -196,11 +198,12 @@
 	if !ok {
 		return c, nil
 	}
-	return l.limiter.add(tcp), nil
+	return l.limiter.track(tcp), nil
 }
 
-// Close ends the listener. A stop and the server's end both close it.
-func (l *conns) Close() error {
+// Close closes the listener. It returns no error if the listener is closed already, because both
+// Drain and the server close it.
+func (l *limitedListener) Close() error {
 	if err := l.Listener.Close(); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// short is a limit that passes in a test; long is one that does not.
+// shortTimeout expires during a test. longTimeout does not.
 const (
-	short = 100 * time.Millisecond
-	long  = time.Minute
+	shortTimeout = 100 * time.Millisecond
+	longTimeout  = time.Minute
 )
 
 func TestLimits(t *testing.T) {
-	const whole = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+	const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 	tests := []struct {
 		name   string
 		limits Limits
-		// send is what the caller sends, with a pause after each part.
-		send  []string
-		pause time.Duration
-		why   string
+		// send lists the parts that the caller sends, with a pause after each.
+		send       []string
+		pause      time.Duration
+		wantReason string
 	}{
-		{"a caller that keeps to them", Limits{Header: long, Idle: long}, []string{whole, whole}, 0, ""},
-		{"none are set", Limits{}, []string{whole, whole}, 2 * short, ""},
-		{"nothing is sent", Limits{Header: short, Idle: long}, nil, 0, "headers took too long"},
-		{"no second request", Limits{Header: long, Idle: short}, []string{whole}, 0, "idle for too long"},
-		{"slow headers", Limits{Header: short, Idle: long}, []string{whole[:20]}, 0, "headers took too long"},
-		{"a slow answer is not slow headers", Limits{Header: short, Idle: long}, []string{strings.Replace(whole, "/", "/slow", 1)}, 0, ""},
+		{"caller stays within the limits", Limits{Header: longTimeout, Idle: longTimeout}, []string{request, request}, 0, ""},
+		{"no limits are set", Limits{}, []string{request, request}, 2 * shortTimeout, ""},
+		{"caller sends nothing", Limits{Header: shortTimeout, Idle: longTimeout}, nil, 0, "headers took too long"},
+		{"caller sends no second request", Limits{Header: longTimeout, Idle: shortTimeout}, []string{request}, 0, "idle for too long"},
+		{"caller sends headers slowly", Limits{Header: shortTimeout, Idle: longTimeout}, []string{request[:20]}, 0, "headers took too long"},
+		{"slow response is not limited", Limits{Header: shortTimeout, Idle: longTimeout}, []string{strings.Replace(request, "/", "/slow", 1)}, 0, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			why := make(chan string, 1)
-			l := New(func() Limits { return tt.limits }, func(_ net.Conn, reason string) { why <- reason }, func(*Conn, string, error) {})
+			reasons := make(chan string, 1)
+			l := New(func() Limits { return tt.limits }, func(_ net.Conn, reason string) { reasons <- reason }, func(*Conn, string, error) {})
 			s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/slow" {
-					time.Sleep(3 * short)
+					time.Sleep(3 * shortTimeout)
 				}
 				_, _ = io.WriteString(w, "ok")
 			}))
@@ -53,13 +53,13 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = c.Close() }()
-			answers := bufio.NewReader(c)
+			responses := bufio.NewReader(c)
 			for _, part := range tt.send {
 				if _, err := io.WriteString(c, part); err != nil {
 					t.Fatal(err)
 				}
 				if strings.HasSuffix(part, "\r\n\r\n") {
-					resp, err := http.ReadResponse(answers, nil)
+					resp, err := http.ReadResponse(responses, nil)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -67,18 +67,18 @@
 				}
 				time.Sleep(tt.pause)
 			}
-			if tt.why == "" {
+			if tt.wantReason == "" {
 				select {
-				case got := <-why:
-					t.Errorf("the connection was ended: %s", got)
+				case got := <-reasons:
+					t.Errorf("the connection was closed: %s", got)
 				default:
 				}
 				return
 			}
-			if got := <-why; got != tt.why {
-				t.Errorf("ended because %q, want %q", got, tt.why)
+			if got := <-reasons; got != tt.wantReason {
+				t.Errorf("connection closed with reason %q, want %q", got, tt.wantReason)
 			}
-			if _, err := answers.ReadByte(); err == nil {
+			if _, err := responses.ReadByte(); err == nil {
 				t.Error("the connection is still open")
 			}
 		})
--- a/internal/connlimit/drain_test.go
+++ b/internal/connlimit/drain_test.go
@@ -13,10 +13,11 @@
 	"time"
 )
 
-// server starts a server whose limits may change; its handler answers when told to.
-func server(t *testing.T, limits func() Limits, why chan<- string, serve http.HandlerFunc) (*Limiter, *httptest.Server) {
+// startServer starts a server with limits that may change during the test. Reasons for closed
+// connections are sent to reasons.
+func startServer(t *testing.T, limits func() Limits, reasons chan<- string, serve http.HandlerFunc) (*Limiter, *httptest.Server) {
 	t.Helper()
-	l := New(limits, func(_ net.Conn, reason string) { why <- reason }, func(*Conn, string, error) {})
+	l := New(limits, func(_ net.Conn, reason string) { reasons <- reason }, func(*Conn, string, error) {})
 	s := httptest.NewUnstartedServer(serve)
 	s.Listener = l.Install(s.Config, s.Listener)
 	s.Start()
@@ -26,108 +27,109 @@
 
 func serveOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
-// A process that did not get to run for a while finds the limit over and the next request
-// waiting at once. The limit here is over when the answer is written, and the second
-// request has come before.
-func TestRequestThatHasComeIsServedAfterTheLimit(t *testing.T) {
+// In a process that was not scheduled for a while, the idle limit expires and the next request
+// arrives at the same time. Here the limit has expired when the first response is written, and the
+// second request arrived before that. It must be served.
+func TestReceivedRequestIsServedAfterIdleTimeout(t *testing.T) {
 	for range 100 {
-		begun, sent := make(chan struct{}, 2), make(chan struct{})
-		_, s := server(t, func() Limits { return Limits{Idle: time.Nanosecond} }, make(chan string, 2), func(w http.ResponseWriter, r *http.Request) {
-			begun <- struct{}{}
-			<-sent
+		started, secondSent := make(chan struct{}, 2), make(chan struct{})
+		_, s := startServer(t, func() Limits { return Limits{Idle: time.Nanosecond} }, make(chan string, 2), func(w http.ResponseWriter, r *http.Request) {
+			started <- struct{}{}
+			<-secondSent
 			serveOK(w, r)
 		})
 		c := dial(t, s)
-		answers := bufio.NewReader(c)
-		if _, err := io.WriteString(c, wholeRequest); err != nil {
+		responses := bufio.NewReader(c)
+		if _, err := io.WriteString(c, completeRequest); err != nil {
 			t.Fatal(err)
 		}
-		<-begun
-		if _, err := io.WriteString(c, wholeRequest); err != nil {
+		<-started
+		if _, err := io.WriteString(c, completeRequest); err != nil {
 			t.Fatal(err)
 		}
-		close(sent)
+		close(secondSent)
 		for _, name := range []string{"first", "second"} {
-			if err := answer(answers); err != nil {
-				t.Fatalf("the %s request got %v", name, err)
+			if err := readResponse(responses); err != nil {
+				t.Fatalf("the %s request failed: %v", name, err)
 			}
 		}
 	}
 }
 
-// TestRaisedLimit covers a connection whose limit is raised while it is idle.
+// TestRaisedLimit covers an idle limit that is raised while a connection is idle: the raised limit
+// applies to it.
 func TestRaisedLimit(t *testing.T) {
 	var raised atomic.Bool
-	why := make(chan string, 1)
-	_, s := server(t, func() Limits {
+	reasons := make(chan string, 1)
+	_, s := startServer(t, func() Limits {
 		if raised.Load() {
-			return Limits{Idle: long}
+			return Limits{Idle: longTimeout}
 		}
-		return Limits{Idle: short}
-	}, why, serveOK)
+		return Limits{Idle: shortTimeout}
+	}, reasons, serveOK)
 	c := dial(t, s)
-	answers := bufio.NewReader(c)
-	if err := ask(c, answers); err != nil {
+	responses := bufio.NewReader(c)
+	if err := sendRequest(c, responses); err != nil {
 		t.Fatal(err)
 	}
 	raised.Store(true)
-	time.Sleep(2 * short)
-	if err := ask(c, answers); err != nil {
-		t.Errorf("a connection within the limit in force got %v", err)
+	time.Sleep(2 * shortTimeout)
+	if err := sendRequest(c, responses); err != nil {
+		t.Errorf("request on a connection within the raised limit: %v", err)
 	}
 }
 
-// TestDrain covers what becomes of open connections in a planned stop.
+// TestDrain covers open connections in each phase when a planned stop begins.
 func TestDrain(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// kept tells that a request was answered on the connection before.
+		// kept is set if a request was answered on the connection before.
 		kept bool
-		// before is what the caller has sent before the stop; the handler answers a
-		// request for /late only once the stop has begun.
+		// before is what the caller sends before the stop. The handler answers a request for /late
+		// only once the stop has begun.
 		before string
-		// after is sent once the stop has begun.
-		after   string
-		answers int
-		why     string
+		// after is what the caller sends once the stop has begun.
+		after         string
+		wantResponses int
+		wantReason    string
 	}{
-		{"an idle connection ends", true, "", "", 0, whyStop},
-		{"a request in flight is answered, and its answer is the last", false, lateRequest, "", 1, ""},
-		{"headers of a new connection that have begun are read to their end", false, wholeRequest[:20], wholeRequest[20:], 1, ""},
-		{"headers of a kept connection that have begun are read to their end", true, wholeRequest[:20], wholeRequest[20:], 1, ""},
-		{"headers that stay half are not waited for", false, wholeRequest[:20], "", 0, whyStop},
-		{"a new connection may ask, and its answer is the last", false, "", wholeRequest, 1, ""},
-		{"a new connection that asks nothing ends", false, "", "", 0, whyStop},
+		{"idle connection is closed", true, "", "", 0, reasonStopping},
+		{"request in flight is answered and the connection closed", false, delayedRequest, "", 1, ""},
+		{"new connection finishes sending its headers", false, completeRequest[:20], completeRequest[20:], 1, ""},
+		{"reused connection finishes sending its headers", true, completeRequest[:20], completeRequest[20:], 1, ""},
+		{"incomplete headers are not awaited", false, completeRequest[:20], "", 0, reasonStopping},
+		{"new connection sends a request and is closed after its response", false, "", completeRequest, 1, ""},
+		{"new connection without a request is closed", false, "", "", 0, reasonStopping},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			why, stopping := make(chan string, 1), make(chan struct{})
-			l, s := server(t, func() Limits { return Limits{} }, why, func(w http.ResponseWriter, r *http.Request) {
+			reasons, stopping := make(chan string, 1), make(chan struct{})
+			l, s := startServer(t, func() Limits { return Limits{} }, reasons, func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/late" {
 					<-stopping
 				}
 				serveOK(w, r)
 			})
 			c := dial(t, s)
-			answers := bufio.NewReader(c)
-			waitsFor := opening
+			responses := bufio.NewReader(c)
+			wantPhase := phaseNew
 			if tc.kept {
-				if err := ask(c, answers); err != nil {
+				if err := sendRequest(c, responses); err != nil {
 					t.Fatal(err)
 				}
-				waitsFor = idle
+				wantPhase = phaseIdle
 			}
 			if _, err := io.WriteString(c, tc.before); err != nil {
 				t.Fatal(err)
 			}
 			switch tc.before {
 			case "":
-			case lateRequest:
-				waitsFor = serving
+			case delayedRequest:
+				wantPhase = phaseServing
 			default:
-				waitsFor = headers
+				wantPhase = phaseHeaders
 			}
-			await(t, l, waitsFor)
+			awaitPhase(t, l, wantPhase)
 			drained := make(chan error, 1)
 			go func() { drained <- l.Drain(t.Context()) }()
 			<-l.draining
@@ -135,51 +137,52 @@
 			if _, err := io.WriteString(c, tc.after); err != nil {
 				t.Fatal(err)
 			}
-			for range tc.answers {
-				if err := answer(answers); err != nil {
+			for range tc.wantResponses {
+				if err := readResponse(responses); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if err := <-drained; err != nil {
 				t.Error(err)
 			}
-			if got := reason(why); got != tc.why {
-				t.Errorf("ended because %q, want %q", got, tc.why)
+			if got := receivedReason(reasons); got != tc.wantReason {
+				t.Errorf("connection closed with reason %q, want %q", got, tc.wantReason)
 			}
 			if _, err := net.Dial("tcp", s.Listener.Addr().String()); err == nil {
-				t.Error("a stopped server takes connections")
+				t.Error("a stopped server accepts connections")
 			}
 		})
 	}
 }
 
-// TestDrainEndsInTime covers a request that outlasts the stop.
-func TestDrainEndsInTime(t *testing.T) {
-	begun, over := make(chan struct{}), make(chan struct{})
-	defer close(over)
-	l, s := server(t, func() Limits { return Limits{} }, make(chan string, 1), func(http.ResponseWriter, *http.Request) {
-		close(begun)
-		<-over
+// TestDrainReturnsWhenContextEnds covers a request that is still in flight when the time for the
+// stop is over.
+func TestDrainReturnsWhenContextEnds(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
+	defer close(release)
+	l, s := startServer(t, func() Limits { return Limits{} }, make(chan string, 1), func(http.ResponseWriter, *http.Request) {
+		close(started)
+		<-release
 	})
-	if _, err := io.WriteString(dial(t, s), wholeRequest); err != nil {
+	if _, err := io.WriteString(dial(t, s), completeRequest); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
-	ctx, cancel := context.WithTimeout(t.Context(), short)
+	<-started
+	ctx, cancel := context.WithTimeout(t.Context(), shortTimeout)
 	defer cancel()
 	if err := l.Drain(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// lateRequest is answered once the stop has begun.
-const lateRequest = "GET /late HTTP/1.1\r\nHost: h\r\n\r\n"
+// delayedRequest is answered only once the stop has begun.
+const delayedRequest = "GET /late HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// await waits until the server's one connection waits for something.
-func await(t *testing.T, l *Limiter, want phase) {
+// awaitPhase waits until the only connection of the server is in the phase want.
+func awaitPhase(t *testing.T, l *Limiter, want phase) {
 	t.Helper()
 	for range 1000 {
-		for _, c := range l.open() {
+		for _, c := range l.openConns() {
 			c.mu.Lock()
 			got := c.phase
 			c.mu.Unlock()
@@ -189,103 +192,105 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the connection is not there")
+	t.Fatal("the connection did not reach the phase in time")
 }
 
-// reason returns why the connection was ended, empty if it was not.
-func reason(why <-chan string) string {
+// receivedReason returns the reason for which the connection was closed, or an empty string if it
+// was not closed.
+func receivedReason(reasons <-chan string) string {
 	select {
-	case got := <-why:
+	case got := <-reasons:
 		return got
 	default:
 		return ""
 	}
 }
 
-// TestServersOwnLimits covers the times that a server sets itself, which hold while
-// operators have set none.
-func TestServersOwnLimits(t *testing.T) {
-	why := make(chan string, 1)
-	l := New(func() Limits { return Limits{} }, func(_ net.Conn, reason string) { why <- reason }, func(*Conn, string, error) {})
+// TestServerTimeoutsApplyWithoutLimits covers the timeouts of http.Server itself, which apply while
+// the operator has set no limits.
+func TestServerTimeoutsApplyWithoutLimits(t *testing.T) {
+	reasons := make(chan string, 1)
+	l := New(func() Limits { return Limits{} }, func(_ net.Conn, reason string) { reasons <- reason }, func(*Conn, string, error) {})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(serveOK))
-	s.Config.ReadHeaderTimeout, s.Config.IdleTimeout = long, short
+	s.Config.ReadHeaderTimeout, s.Config.IdleTimeout = longTimeout, shortTimeout
 	s.Listener = l.Install(s.Config, s.Listener)
 	s.Start()
 	defer s.Close()
 	c := dial(t, s)
-	if err := ask(c, bufio.NewReader(c)); err != nil {
+	if err := sendRequest(c, bufio.NewReader(c)); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-why; got != whyIdle {
-		t.Errorf("ended because %q", got)
+	if got := <-reasons; got != reasonIdleTimeout {
+		t.Errorf("connection closed with reason %q", got)
 	}
 }
 
-// heldListener hands a connection out only when told to.
-type heldListener struct {
+// blockingListener returns a connection from Accept only after release is closed.
+type blockingListener struct {
 	net.Listener
-	taken, release chan struct{}
+	accepted, release chan struct{}
 }
 
-func (l heldListener) Accept() (net.Conn, error) {
+func (l blockingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		close(l.taken)
+		close(l.accepted)
 		<-l.release
 	}
 	return c, err
 }
 
-// A stop begins while a connection is being accepted: it is not among the open ones yet. A
-// stop that found none open then was over at once, and the caller's request was reset.
-func TestDrainWaitsForAConnectionThatIsBeingAccepted(t *testing.T) {
+// TestDrainWaitsForConnectionBeingAccepted covers a planned stop that begins while a connection is
+// being accepted and is not among the open connections yet. If Drain does not wait for it, the stop
+// ends at once and the request of the caller is reset.
+func TestDrainWaitsForConnectionBeingAccepted(t *testing.T) {
 	l := New(func() Limits { return Limits{} }, func(net.Conn, string) {}, func(*Conn, string, error) {})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(serveOK))
-	held := heldListener{Listener: s.Listener, taken: make(chan struct{}), release: make(chan struct{})}
-	s.Listener = l.Install(s.Config, held)
+	listener := blockingListener{Listener: s.Listener, accepted: make(chan struct{}), release: make(chan struct{})}
+	s.Listener = l.Install(s.Config, listener)
 	s.Start()
 	defer s.Close()
 	c := dial(t, s)
-	if _, err := io.WriteString(c, wholeRequest); err != nil {
+	if _, err := io.WriteString(c, completeRequest); err != nil {
 		t.Fatal(err)
 	}
-	<-held.taken
+	<-listener.accepted
 	drained := make(chan error, 1)
 	go func() {
 		err := l.Drain(t.Context())
 		drained <- errors.Join(err, s.Config.Close())
 	}()
 	<-l.draining
-	// Where the stop does not wait, it is over by then.
-	time.Sleep(short)
-	close(held.release)
-	if err := answer(bufio.NewReader(c)); err != nil {
-		t.Errorf("the request got %v", err)
+	// A Drain that does not wait has returned by then.
+	time.Sleep(shortTimeout)
+	close(listener.release)
+	if err := readResponse(bufio.NewReader(c)); err != nil {
+		t.Errorf("the request failed: %v", err)
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestDrainAgain covers a stop that goes on after its first time is over.
-func TestDrainAgain(t *testing.T) {
-	begun, over := make(chan struct{}), make(chan struct{})
-	l, s := server(t, func() Limits { return Limits{} }, make(chan string, 1), func(w http.ResponseWriter, r *http.Request) {
-		close(begun)
-		<-over
+// TestDrainCanBeRepeated covers a second call of Drain after the context of the first call ended.
+func TestDrainCanBeRepeated(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
+	l, s := startServer(t, func() Limits { return Limits{} }, make(chan string, 1), func(w http.ResponseWriter, r *http.Request) {
+		close(started)
+		<-release
 		serveOK(w, r)
 	})
 	c := dial(t, s)
-	if _, err := io.WriteString(c, wholeRequest); err != nil {
+	if _, err := io.WriteString(c, completeRequest); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
+	<-started
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := l.Drain(ctx); !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
-	close(over)
+	close(release)
 	if err := l.Drain(t.Context()); err != nil {
 		t.Error(err)
 	}
@@ -294,44 +299,44 @@
 		t.Fatal(err)
 	}
 	if !resp.Close {
-		t.Error("the last answer does not say so")
+		t.Error("the last response does not announce that the connection is closed")
 	}
 }
 
-// TestLimitsOfLaterRequests covers the headers and the body of a request on a kept
+// TestLimitsOfLaterRequests covers the headers and the body of a second request on the same
 // connection.
 func TestLimitsOfLaterRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// parts are sent with pauses longer than the limit for headers between them.
-		parts []string
-		why   string
+		// parts are sent with pauses between them that are longer than the limit for headers.
+		parts      []string
+		wantReason string
 	}{
-		{"two bytes of headers", []string{wholeRequest[:2], wholeRequest[2:]}, whyHeaders},
-		{"a line of headers", []string{wholeRequest[:16], wholeRequest[16:]}, whyHeaders},
-		{"a slow body", []string{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n", "bo", "dy"}, ""},
+		{"slow after two bytes of headers", []string{completeRequest[:2], completeRequest[2:]}, reasonHeaderTimeout},
+		{"slow after one line of headers", []string{completeRequest[:16], completeRequest[16:]}, reasonHeaderTimeout},
+		{"slow body is not limited", []string{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n", "bo", "dy"}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			why := make(chan string, 1)
-			_, s := server(t, func() Limits { return Limits{Header: short, Idle: long} }, why, func(w http.ResponseWriter, r *http.Request) {
+			reasons := make(chan string, 1)
+			_, s := startServer(t, func() Limits { return Limits{Header: shortTimeout, Idle: longTimeout} }, reasons, func(w http.ResponseWriter, r *http.Request) {
 				if _, err := io.Copy(io.Discard, r.Body); err != nil {
 					t.Error(err)
 				}
 				serveOK(w, r)
 			})
 			c := dial(t, s)
-			answers := bufio.NewReader(c)
-			if err := ask(c, answers); err != nil {
+			responses := bufio.NewReader(c)
+			if err := sendRequest(c, responses); err != nil {
 				t.Fatal(err)
 			}
 			for _, part := range tc.parts {
 				_, _ = io.WriteString(c, part)
-				time.Sleep(2 * short)
+				time.Sleep(2 * shortTimeout)
 			}
-			err := answer(answers)
-			if (err == nil) != (tc.why == "") || reason(why) != tc.why {
-				t.Errorf("got %v, want it ended because %q", err, tc.why)
+			err := readResponse(responses)
+			if (err == nil) != (tc.wantReason == "") || receivedReason(reasons) != tc.wantReason {
+				t.Errorf("got error %v, want the connection closed with reason %q", err, tc.wantReason)
 			}
 		})
 	}
--- a/internal/connlimit/late_test.go
+++ b/internal/connlimit/late_test.go
@@ -12,39 +12,39 @@
 	"time"
 )
 
-// wholeRequest is a request that needs no body.
-const wholeRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+// completeRequest is a request without a body.
+const completeRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// A timer beside the connection ended it when the limit on idle connections was over. An
-// entry that was busy with a table of some thousand routes did not get to run for 0.3 s,
-// and then the timer and the caller's next request were both due. Calling the connection
-// active stopped the timer, but not its callback, which had begun: the request was read
-// and passed on, and the connection was closed under it. The upstream ran the call; the
-// caller got nothing. The lines that settled it, 5 ms apart:
+// TestLimitDoesNotCloseConnectionOfReadRequest guards against limits that a timer next to the
+// connection enforces. If the process is not scheduled for a while, as during the update of a route
+// table with thousands of routes, the timer and the next request of the caller are due at the same
+// time. Stopping the timer when the connection becomes active does not stop a callback that has
+// begun: the request is read and forwarded, the upstream executes it, and its connection is closed
+// without a response.
 //
 //	request-routed  upstream=i-cb4b8df608 why=first
 //	caller-gone     while=waiting ended-here="idle for too long" sent=true after=4.9ms
-func TestLimitDoesNotEndARequestThatWasRead(t *testing.T) {
+func TestLimitDoesNotCloseConnectionOfReadRequest(t *testing.T) {
 	var served atomic.Int32
 	var caller net.Conn
-	begun := make(chan struct{}, 1)
-	// The next request comes at the moment at which the limit is over.
-	ended := func(net.Conn, string) {
-		if _, err := io.WriteString(caller, wholeRequest); err != nil {
+	started := make(chan struct{}, 1)
+	// The next request arrives at the moment at which the limit expires.
+	onEnd := func(net.Conn, string) {
+		if _, err := io.WriteString(caller, completeRequest); err != nil {
 			t.Error(err)
 		}
 		select {
-		case <-begun:
-		case <-time.After(short):
+		case <-started:
+		case <-time.After(shortTimeout):
 		}
 	}
-	l := New(func() Limits { return Limits{Idle: short} }, ended, func(*Conn, string, error) {})
+	l := New(func() Limits { return Limits{Idle: shortTimeout} }, onEnd, func(*Conn, string, error) {})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if served.Add(1) > 1 {
-			begun <- struct{}{}
+			started <- struct{}{}
 			select {
 			case <-r.Context().Done():
-			case <-time.After(short):
+			case <-time.After(shortTimeout):
 			}
 		}
 		_, _ = io.WriteString(w, "ok")
@@ -53,13 +53,13 @@
 	s.Start()
 	defer s.Close()
 	caller = dial(t, s)
-	answers := bufio.NewReader(caller)
-	if err := ask(caller, answers); err != nil {
+	responses := bufio.NewReader(caller)
+	if err := sendRequest(caller, responses); err != nil {
 		t.Fatal(err)
 	}
-	_, err := http.ReadResponse(answers, nil)
+	_, err := http.ReadResponse(responses, nil)
 	if err != nil && served.Load() > 1 {
-		t.Errorf("a request was read and passed on, and its caller got %v", err)
+		t.Errorf("a request was read and handled, but its caller got %v", err)
 	}
 }
 
@@ -73,26 +73,25 @@
 	return c
 }
 
-// errNotAnswered is returned for an answer that is not the handler's.
-var errNotAnswered = errors.New("not the handler's answer")
+// errUnexpectedBody is returned for a response whose body is not the one that the handler writes.
+var errUnexpectedBody = errors.New("the response body is not the one of the handler")
 
-// ask sends a request and reads its answer.
-func ask(c net.Conn, answers *bufio.Reader) error {
-	if _, err := io.WriteString(c, wholeRequest); err != nil {
+// sendRequest sends a request and reads its response.
+func sendRequest(c net.Conn, responses *bufio.Reader) error {
+	if _, err := io.WriteString(c, completeRequest); err != nil {
 		return err
 	}
-	return answer(answers)
+	return readResponse(responses)
 }
 
-// answer reads an answer.
-func answer(answers *bufio.Reader) error {
-	resp, err := http.ReadResponse(answers, nil)
+func readResponse(responses *bufio.Reader) error {
+	resp, err := http.ReadResponse(responses, nil)
 	if err != nil {
 		return err
 	}
 	b, err := io.ReadAll(resp.Body)
 	if err == nil && string(b) != "ok" {
-		return errNotAnswered
+		return errUnexpectedBody
 	}
 	return err
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -49,13 +49,13 @@
 mutant gateway-half-closed $gateway/request.go 's/\tg\.proto\.Refuse\(rq\.w, &rq\.call, protocol\.Refusal\{Status: status, Reason: reason\}, g\.now\(\)\)\n\}/\tpanic(http.ErrAbortHandler)\n}/' $gateway TestCallerThatOnlyStopsSending
 
 connlimit=internal/connlimit
-mutant connection-last-look $connlimit/conn.go 's/n, err = c\.lastLook\(b, err\)/_, _ = c.lastLook, c.Close()/' $connlimit TestRequestThatHasCome
-mutant connection-late-close $connlimit/connlimit.go 's/\t\tc\.enter\(idle\)\n/\t\tc.enter(idle)\n\t\tif d := l.limits().Idle; d > 0 {\n\t\t\ttime.AfterFunc(d, func() { l.ended(c, whyIdle); _ = c.Close() })\n\t\t}\n/' $connlimit TestLimitDoesNotEndARequest
-mutant connection-raised $connlimit/conn.go 's/if c\.extend\(\) \{/if false \&\& c.extend() {/' $connlimit TestRaisedLimit
-mutant connection-stop-idle $connlimit/conn.go 's/\tmost := c\.since\n/\tmost := c.since.Add(time.Hour)\n/' $connlimit TestDrain
+mutant connection-last-look $connlimit/conn.go 's/n, err = c\.finalRead\(b, err\)/_, _ = c.finalRead, c.Close()/' $connlimit TestReceivedRequest
+mutant connection-late-close $connlimit/connlimit.go 's/\t\tc\.enter\(phaseIdle\)\n/\t\tc.enter(phaseIdle)\n\t\tif d := l.limits().Idle; d > 0 {\n\t\t\ttime.AfterFunc(d, func() { l.onEnd(c, reasonIdleTimeout); _ = c.Close() })\n\t\t}\n/' $connlimit TestLimitDoesNotCloseConnection
+mutant connection-raised $connlimit/conn.go 's/if c\.extendDeadline\(\) \{/if false \&\& c.extendDeadline() {/' $connlimit TestRaisedLimit
+mutant connection-stop-idle $connlimit/conn.go 's/\tstopDeadline := c\.phaseSince\n/\tstopDeadline := c.phaseSince.Add(time.Hour)\n/' $connlimit TestDrain
 mutant connection-stop-shutdown internal/daemon/gatewayhttp.go 's/b\.callers\.connections\.Drain\(served\)/b.callers.server.Shutdown(served)/' internal/daemon TestStopAnswersWhatWasRead
-mutant connection-last-answer $connlimit/answerwriter.go 's/if a\.limiter\.stops\(\) \{/if false {/' $connlimit TestDrain
-mutant connection-accepting $connlimit/connlimit.go 's/\t\t\t<-listener\.ended\n/\t\t\t_ = listener.ended\n/' $connlimit TestDrainWaits
+mutant connection-last-answer $connlimit/answerwriter.go 's/if w\.limiter\.isDraining\(\) \{/if false {/' $connlimit TestDrain
+mutant connection-accepting $connlimit/connlimit.go 's/\t\t\t<-listener\.done\n/\t\t\t_ = listener.done\n/' $connlimit TestDrainWaits
 mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestStopThatIsLate
 mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerThatIsThere|TestUpstreamsFailureGoes'
 mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestPanicIsAnswered
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -17,7 +17,7 @@
 soak instance platform/caller.go 's/\th\.Set\(headerInstance, a\.Upstream\)\n//'
 soak second-signal internal/kernel/kernel.go 's/\twaitForEnd\(ctx, sigs\)\n/\twaitForEnd(ctx, sigs)\n\tsignal.Stop(sigs)\n/'
 # A timer beside the connection that ends it, whatever was read meanwhile.
-soak late-close internal/connlimit/connlimit.go 's/\tcase http\.StateActive:\n/\tcase http.StateActive:\n\t\tif t, ok := late.LoadAndDelete(c); ok {\n\t\t\tt.(*time.Timer).Stop()\n\t\t}\n/; s/\t\tc\.enter\(idle\)\n/\t\tc.enter(idle)\n\t\tif d := l.limits().Idle; d > 0 {\n\t\t\tlate.Store(c, time.AfterFunc(d, func() { _ = c.Close() }))\n\t\t}\n/; s/\ntype Limiter struct/\nvar late sync.Map\n\ntype Limiter struct/'
+soak late-close internal/connlimit/connlimit.go 's/\tcase http\.StateActive:\n/\tcase http.StateActive:\n\t\tif t, ok := late.LoadAndDelete(c); ok {\n\t\t\tt.(*time.Timer).Stop()\n\t\t}\n/; s/\t\tc\.enter\(phaseIdle\)\n/\t\tc.enter(phaseIdle)\n\t\tif d := l.limits().Idle; d > 0 {\n\t\t\tlate.Store(c, time.AfterFunc(d, func() { _ = c.Close() }))\n\t\t}\n/; s/\ntype Limiter struct/\nvar late sync.Map\n\ntype Limiter struct/'
 # All that is believed of an upstream goes by its name alone, or only a start with a
 # later birth counts.
 soak start internal/fleet/starts.go 's/\tcase born != 0:\n/\tcase born != 0 \&\& false:\n/'
