--- a/internal/daemon/badrows.go
+++ b/internal/daemon/badrows.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// badLines bounds the log lines about rows that cannot be used within badLinesEach: a
-	// writer that fills the table with them, or writes one anew without end, would push
-	// the other lines out of the log.
-	badLines     = 20
-	badLinesEach = 10 * time.Second
+	// badRowLogLimit bounds the log lines about rejected rows within badRowLogPeriod. Without a
+	// bound, a writer that fills the table with invalid rows, or rewrites one of them in a loop,
+	// would push other lines out of the log.
+	badRowLogLimit  = 20
+	badRowLogPeriod = 10 * time.Second
 )
 
-// badRows tells operators which rows of a table cannot be used: a log line and a count for
-// each row and version, and a gauge of those there are. It keeps no more rows than the
-// table has. All but list is used by one goroutine.
+// badRows reports the rows of a table that cannot be used: one log line and one count for each
+// version of a row, and a gauge of the rows that are rejected now. It stores no more rows than the
+// table has. All methods but list are called by one goroutine.
 type badRows struct {
-	event  events.ID
-	reason func(err error) string
-	rec    *events.Recorder
-	now    func() time.Time
-	total  *prometheus.CounterVec
-	there  *prometheus.GaugeVec
+	event   events.ID
+	reason  func(err error) string
+	rec     *events.Recorder
+	now     func() time.Time
+	total   *prometheus.CounterVec
+	current *prometheus.GaugeVec
 
 	mu   sync.Mutex
 	rows map[string]badRow
-	// lines were written since the last period began, and unsaid left out since a line.
-	lines, unsaid int
-	nextPeriod    time.Time
+	// logged is the number of lines written in this period. suppressed is the number of lines left
+	// out since the last line that was written.
+	logged, suppressed int
+	nextPeriod         time.Time
 }
 
 // badRow is a row that cannot be used.
@@ -44,19 +45,20 @@
 	reason  string
 }
 
-// newBadRows registers the metrics; reason names one of a few reasons for an error.
+// newBadRows returns an empty badRows and registers its metrics. reason maps an error to one of a
+// few label values.
 func newBadRows(event events.ID, reason func(err error) string, reg prometheus.Registerer, rec *events.Recorder, now func() time.Time) *badRows {
 	b := &badRows{
 		event: event, reason: reason, rec: rec, now: now, rows: map[string]badRow{},
-		total: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_bad_rows_total", Help: "Versions of upstreams' rows that cannot be used, by reason."}, []string{"reason"}),
-		there: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "sparshore_gateway_bad_rows", Help: "Upstreams' rows in the store that cannot be used, by reason."}, []string{"reason"}),
+		total:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "sparshore_gateway_bad_rows_total", Help: "Versions of upstream rows that were rejected, by reason."}, []string{"reason"}),
+		current: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "sparshore_gateway_bad_rows", Help: "Upstream rows in the store that are rejected now, by reason."}, []string{"reason"}),
 	}
-	reg.MustRegister(b.total, b.there)
+	reg.MustRegister(b.total, b.current)
 	return b
 }
 
-// add takes over a row that cannot be used. A version that is known is not told again:
-// answers repeat rows, as when the whole table is read.
+// add records a row that cannot be used. A version that is recorded already is not reported again,
+// because rows are repeated, for example when the whole table is read.
 func (b *badRows) add(row product.Record, err error) {
 	old, known := b.rows[row.Name]
 	if known && old.version == row.Version {
@@ -67,60 +69,60 @@
 	b.mu.Lock()
 	b.rows[row.Name] = badRow{version: row.Version, reason: reason}
 	b.mu.Unlock()
-	b.there.WithLabelValues(reason).Inc()
+	b.current.WithLabelValues(reason).Inc()
 	b.total.WithLabelValues(reason).Inc()
-	b.say(row, reason, err)
+	b.logRow(row, reason, err)
 }
 
-// say writes a log line, unless there were too many.
-func (b *badRows) say(row product.Record, reason string, err error) {
+// logRow writes a log line about a row unless the limit for this period is reached.
+func (b *badRows) logRow(row product.Record, reason string, err error) {
 	if now := b.now(); !now.Before(b.nextPeriod) {
-		b.lines, b.nextPeriod = 0, now.Add(badLinesEach)
+		b.logged, b.nextPeriod = 0, now.Add(badRowLogPeriod)
 	}
-	if b.lines >= badLines {
-		b.unsaid++
+	if b.logged >= badRowLogLimit {
+		b.suppressed++
 		return
 	}
-	b.lines++
-	b.rec.Note(b.event, "", "upstream", events.Excerpt(row.Name, longestName), "version", row.Version, "reason", reason, "error", err, "unsaid-before", b.unsaid)
-	b.unsaid = 0
+	b.logged++
+	b.rec.Note(b.event, "", "upstream", events.Excerpt(row.Name, maxRowNameBytes), "version", row.Version, "reason", reason, "error", err, "unsaid-before", b.suppressed)
+	b.suppressed = 0
 }
 
-// remove forgets a row that is gone or can be used.
+// remove deletes a row that is gone or can be used again.
 func (b *badRows) remove(name string) {
 	if old, ok := b.rows[name]; ok {
-		b.there.WithLabelValues(old.reason).Dec()
+		b.current.WithLabelValues(old.reason).Dec()
 		b.mu.Lock()
 		delete(b.rows, name)
 		b.mu.Unlock()
 	}
 }
 
-// keep forgets the rows that a whole table does not hold.
-func (b *badRows) keep(held map[string]int) {
+// retainListed deletes the rows that are not in a complete read of the table.
+func (b *badRows) retainListed(listed map[string]int) {
 	for name := range b.rows {
-		if _, ok := held[name]; !ok {
+		if _, ok := listed[name]; !ok {
 			b.remove(name)
 		}
 	}
 }
 
-// list returns the rows that cannot be used, by name, and at most as many as are told.
+// list returns the rows that cannot be used, sorted by name, up to maxStatusBadRows.
 func (b *badRows) list() []badRowStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]badRowStatus, 0, min(len(b.rows), mostBadRows))
+	out := make([]badRowStatus, 0, min(len(b.rows), maxStatusBadRows))
 	for _, name := range slices.Sorted(maps.Keys(b.rows)) {
-		if len(out) == mostBadRows {
+		if len(out) == maxStatusBadRows {
 			break
 		}
-		out = append(out, badRowStatus{Name: events.Excerpt(name, longestName), Version: b.rows[name].version, Reason: b.rows[name].reason})
+		out = append(out, badRowStatus{Name: events.Excerpt(name, maxRowNameBytes), Version: b.rows[name].version, Reason: b.rows[name].reason})
 	}
 	return out
 }
 
-// mostBadRows bounds the rows that the status page tells of.
-const mostBadRows = 100
+// maxStatusBadRows bounds the rejected rows in the status page.
+const maxStatusBadRows = 100
 
-// longestName bounds in bytes what a log line repeats of a row's name.
-const longestName = 128
+// maxRowNameBytes bounds how much of the name of a row a log line repeats.
+const maxRowNameBytes = 128
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -18,7 +18,7 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// RunEntry runs an entry until it is told to stop.
+// RunEntry runs an entry until the process is told to stop.
 func RunEntry(ctx context.Context, s EntrySettings, logs io.Writer) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -40,7 +40,7 @@
 	})
 }
 
-// entryBuilder holds the parts of an entry while the kernel puts them together.
+// entryBuilder holds the parts of an entry while the kernel builds and starts them.
 type entryBuilder struct {
 	node      *node
 	settings  EntrySettings
@@ -63,7 +63,7 @@
 	methods := peer.Methods{}
 	maps.Copy(methods, b.store.Methods())
 	maps.Copy(methods, b.client.Methods())
-	b.set = membership.NewSet(b.self, n.vms, n.timing(), methods.Guarded(noteFault(n.rec)))
+	b.set = membership.NewSet(b.self, n.vms, n.timing(), methods.Guarded(recordPanics(n.rec)))
 	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, rollout.TargetsOf(b.set), n.rec, rollout.DefaultDeadlines(), now)
 	b.entry = entry.New(entry.Settings{
 		Zone: n.settings.Zone, MaxBody: b.settings.MaxBody, StartWithin: b.settings.StartWithin,
@@ -76,8 +76,8 @@
 	return membership.Status{Mark: b.store.Mark(), Load: membership.Load{AtMS: now().UnixMilli()}, Suspects: b.entry.Quarantine().Tell()}
 }
 
-func (b *entryBuilder) peerSuspects(process string, words []quarantine.Word) {
-	b.entry.Quarantine().Hear(process, words)
+func (b *entryBuilder) peerSuspects(process string, records []quarantine.Word) {
+	b.entry.Quarantine().Hear(process, records)
 }
 
 func (b *entryBuilder) behind(c *peer.Conn, _ config.Mark) { _ = b.store.CatchUp(b.node.ctx, c) }
@@ -114,27 +114,27 @@
 	}
 }
 
-const joinPause = 50 * time.Millisecond
+const joinRetryInterval = 50 * time.Millisecond
 
-// join waits until the VM list shows this process and only then takes the
-// head, from the table or, while the table is out, from peers in the zone: a
-// coordinator that missed this process must have committed before.
+// join waits until the VM list contains this process and only then reads the head of the
+// configuration: a coordinator that did not see this process in the list must have committed its
+// change before. While the table is unavailable, the configuration is taken from peers in the zone.
 func (b *entryBuilder) join(ctx context.Context) {
 	for ctx.Err() == nil {
-		if b.set.Listed(b.node.settings.Name) && (b.coord.Refresh(ctx) == nil || b.peersShown(ctx)) {
+		if b.set.Listed(b.node.settings.Name) && (b.coord.Refresh(ctx) == nil || b.adoptPeerConfig(ctx)) {
 			b.entry.Joined()
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(joinPause):
+		case <-time.After(joinRetryInterval):
 		}
 	}
 }
 
-// peersShown takes what peers of the own zone have in force. One that serves
-// has all that was accepted.
-func (b *entryBuilder) peersShown(ctx context.Context) bool {
+// adoptPeerConfig takes the configuration of the peers in the same zone and reports whether one is
+// active. A peer that serves callers has every accepted change.
+func (b *entryBuilder) adoptPeerConfig(ctx context.Context) bool {
 	for _, p := range b.set.Peers() {
 		if c := p.Conn(); c != nil && p.VMZone() == b.node.settings.Zone && p.Identity().Process() != b.node.settings.Name {
 			_ = b.store.CatchUp(ctx, c)
@@ -143,12 +143,12 @@
 	return b.store.Active() != nil
 }
 
-// balancerPause is how long a stopping entry still takes what the balancer
-// sends before it has noticed.
-const balancerPause = time.Second
+// balancerNoticeTime is how long a stopping entry still accepts requests that the load balancer
+// sends before it notices the stop.
+const balancerNoticeTime = time.Second
 
-// entryService is the last to start, so its stop comes first: callers in
-// flight are served before anything they need goes away.
+// entryService starts last and therefore stops first: requests in flight are finished before the
+// services that they depend on stop.
 func (b *entryBuilder) entryService() kernel.Service {
 	return kernel.Service{
 		Name:  serviceEntry,
@@ -158,7 +158,7 @@
 			deadline := now().Add(n.settings.StopWithin)
 			n.rec.Note(events.ProcessStopping, "", "deadline", deadline.Format(time.RFC3339))
 			b.entry.Drain()
-			time.Sleep(min(balancerPause, n.settings.StopWithin/2))
+			time.Sleep(min(balancerNoticeTime, n.settings.StopWithin/2))
 			ctx, cancel := context.WithDeadline(ctx, deadline)
 			defer cancel()
 			if !b.entry.Idle(ctx) {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -24,7 +24,7 @@
 	"github.com/sparshore/sparshore/platform"
 )
 
-// The names under which the gateway's services find each other.
+// The names under which the services of a gateway look each other up.
 const (
 	serviceGateway   kernel.Name = "gateway"
 	serviceFollow    kernel.Name = "follow"
@@ -35,136 +35,149 @@
 	serviceLog       kernel.Name = "log"
 )
 
-// The fixed times of a gateway.
+// Times, rates and sizes of a gateway that are not settings.
 const (
-	// routesWait is how long the store holds a call for a change of the routes.
-	// It sets how old a confirmation gets, against the price of calls.
+	// routesWait is how long the store holds a call until the routes change. It determines how old
+	// the confirmation of the routes gets. A shorter time costs more calls to the store.
 	routesWait = 1400 * time.Millisecond
-	// upstreamsWait is the same for upstreams. It stays under relayStale, beyond
-	// which other entries do not go by what a delegate knows.
+	// upstreamsWait is the same for upstreams. It stays below relayMaxAge, because other entries do
+	// not use what a delegate reports when it is older than that.
 	upstreamsWait = 1800 * time.Millisecond
-	// followSlack covers the way to the store and a late answer.
-	followSlack = 700 * time.Millisecond
-	// followList bounds a read of a whole table: some pages, each of which has a bound
-	// of its own, on the slowest link.
-	followList = 10 * time.Second
-	// followPauseLeast and followPauseMost bound the back-off.
-	followPauseLeast = 50 * time.Millisecond
-	followPauseMost  = 500 * time.Millisecond
-	// followGather joins changes that come close together in one call.
-	followGather = 40 * time.Millisecond
-	// followGatherMost bounds that pause while changes go on coming, as when many
-	// upstreams start: an engine that leaves gives notice of some 1.5 s, of which
-	// this is a seventh.
-	followGatherMost = 200 * time.Millisecond
-	// delegates is the number of entries that follow the store for all others:
-	// one more than may be lost at a time without asking the store again.
-	delegates = 2
-	// relayWait and relaySlack bound how late the silence of a delegate is
-	// noticed; an engine that leaves gives notice of some 1.5 s.
-	relayWait  = 500 * time.Millisecond
-	relaySlack = 250 * time.Millisecond
-	// relayStale is just beyond the age of what a delegate knows in steady state, and
-	// under the age to which routes are trusted.
-	relayStale = 2 * time.Second
-	// relayAvoid is some tries' worth of following the store instead.
-	relayAvoid = 3 * time.Second
-	// relayAvoidStale is the time after which an entry whose answer was too old is asked
-	// again: about the time in which a delegate that is merely late catches up.
+	// followTimeoutMargin is added to the timeout of such a call for the network and a late answer.
+	followTimeoutMargin = 700 * time.Millisecond
+	// followListTimeout bounds a read of a whole table. Such a read takes several pages, each with
+	// its own timeout, on the slowest network.
+	followListTimeout = 10 * time.Second
+	// followBackoffMin and followBackoffMax bound the backoff after failed calls.
+	followBackoffMin = 50 * time.Millisecond
+	followBackoffMax = 500 * time.Millisecond
+	// followBatchDelayMin is the delay after an answer with changes. Changes that follow within it
+	// share the next call.
+	followBatchDelayMin = 40 * time.Millisecond
+	// followBatchDelayMax bounds that delay while changes continue, as when many upstreams start.
+	// An engine that leaves gives notice of about 1.5 s, and the delay may use up a seventh of it.
+	followBatchDelayMax = 200 * time.Millisecond
+	// delegateCount is the number of entries that follow the store on behalf of all others. One of
+	// them may fail without other entries having to call the store.
+	delegateCount = 2
+	// relayWait and relayTimeoutMargin bound how late it is noticed that a delegate does not
+	// answer. An engine that leaves gives notice of about 1.5 s.
+	relayWait          = 500 * time.Millisecond
+	relayTimeoutMargin = 250 * time.Millisecond
+	// relayMaxAge is the age beyond which data from a delegate is not used. It is slightly longer
+	// than the age of that data in steady state and shorter than the age up to which routes are
+	// trusted.
+	relayMaxAge = 2 * time.Second
+	// relayAvoidFailed is how long an entry that failed to answer is not asked again: the time of a
+	// few calls to the store, which is followed instead.
+	relayAvoidFailed = 3 * time.Second
+	// relayAvoidStale is how long an entry whose answer was too old is not asked again. A delegate
+	// that is only late catches up in about this time.
 	relayAvoidStale = 250 * time.Millisecond
-	// relayCallEach is the time between two calls to the store of all entries that no
-	// other one can tell. It bounds how late the end of an outage is noticed.
-	relayCallEach = 100 * time.Millisecond
-	// relayRetry is how long an entry that does not reach the store leaves it to
-	// others to follow it; each try is a call that the platform charges.
-	relayRetry = 4 * time.Second
-	// settleFor is how long after an outage lapsed upstreams have to come back:
-	// the platform's operators state about two seconds.
-	settleFor = 2200 * time.Millisecond
-	// restoreFor is how long after the store was restored from a copy rows may still be written
-	// again, and those of upstreams that ended meanwhile go: some heartbeats.
-	restoreFor = 5 * time.Second
-	// trustMargin is taken off the key bound: the store's feed may be silent for
-	// up to a second while changes are made.
-	trustMargin = 1200 * time.Millisecond
-	// gossipEvery makes load of others at most a few requests old.
-	gossipEvery = 200 * time.Millisecond
-	// gossipLeast lets a burst of placements share a message.
-	gossipLeast = 10 * time.Millisecond
-	// gossipRate bounds an entry's messages a second to its own zone, and to the others
-	// together. With 103 entries the 17 of a zone hear of each other's placements after
-	// 68 ms at most, and the others after 344 ms.
+	// relayCallInterval is the time between two calls to the store, over all entries that cannot
+	// get its data from another entry. It bounds how late the end of an outage is noticed.
+	relayCallInterval = 100 * time.Millisecond
+	// relayRetryInterval is how long an entry that cannot reach the store leaves following it to
+	// others. Each attempt is a call that the platform charges for.
+	relayRetryInterval = 4 * time.Second
+	// settleTime is how long after an outage of the store upstreams whose rows lapsed may take to
+	// come back. The operators of the platform state about two seconds.
+	settleTime = 2200 * time.Millisecond
+	// restoreTime is how long after the store was restored from an older copy its rows may be
+	// incomplete: rows are still written again, and rows of upstreams that have ended meanwhile
+	// still disappear. It covers a few heartbeats.
+	restoreTime = 5 * time.Second
+	// keyBoundMargin is subtracted from the key bound, because the feed of the store may report
+	// nothing for up to a second while changes are made.
+	keyBoundMargin = 1200 * time.Millisecond
+	// gossipInterval is the time between two messages to a peer. Within it, the load of other
+	// entries changes by a few requests at most.
+	gossipInterval = 200 * time.Millisecond
+	// gossipIntervalMin is the least time between two messages to a peer, so that a burst of
+	// placements shares a message.
+	gossipIntervalMin = 10 * time.Millisecond
+	// gossipRate bounds the messages a second that an entry sends to its own zone, and those to all
+	// other zones together. With 103 entries, placements reach the 17 entries of the own zone after
+	// 68 ms at most and the others after 344 ms.
 	gossipRate = 250
-	// gossipUrgent is the least time between two urgent messages to all: faults of
-	// engines, repeats and planned stops, some in a second.
-	gossipUrgent = 100 * time.Millisecond
-	// gossipUrgentRate bounds what is urgent and goes to all directly: a tenth of a small machine's
-	// processor.
+	// gossipUrgentIntervalMin is the least time between two urgent messages to all entries. Urgent
+	// messages carry faults of engines, retries and planned stops, of which there are a few a
+	// second.
+	gossipUrgentIntervalMin = 100 * time.Millisecond
+	// gossipUrgentRate bounds the urgent messages a second that are sent to all entries directly.
+	// At this rate they use a tenth of the processor of a small VM.
 	gossipUrgentRate = 1000
-	// gossipForget is some lost messages in a row.
-	gossipForget = 1500 * time.Millisecond
-	// directoryEvery bounds how late entries that lost each other find out, and
-	// directoryReadEach the calls of all entries for that: two a second and, for
-	// renewals, two thirds of one.
-	directoryEvery    = 10 * time.Second
-	directoryReadEach = 500 * time.Millisecond
-	// directoryAgain is the time after which a refused renewal is tried again.
-	directoryAgain = 2 * time.Second
-	// directoryCall bounds one call for the list of entries.
-	directoryCall = 1500 * time.Millisecond
-	// directoryHeard is the time in which an entry that starts hears one of those that are
-	// listed: some round trips, a busy processor and a lost message.
-	directoryHeard = time.Second
-	// directoryTogether spreads the first looks at the list when a deployment starts for the first
-	// time: a hundred calls to the store, one after another.
-	directoryTogether = time.Second
-	// directoryAlone bounds the pause after which an entry that found no other one looks again:
-	// many calls to the store, so that of hundreds that start together few do.
-	directoryAlone = 300 * time.Millisecond
-	// directoryWriteEach spreads the rows of entries that start together: the store takes twice
-	// as many.
-	directoryWriteEach = 10 * time.Millisecond
-	// directoryTold is some round trips, and a busy processor.
-	directoryTold = 150 * time.Millisecond
-	// listedWithin is for how long a start waits for the list of entries before it reads the
-	// tables from the store: some calls, also while the store is slow.
-	listedWithin = time.Second
-	// sweepEvery is the pause between looks at lapsed upstreams and idle connections.
-	sweepEvery = 250 * time.Millisecond
-	// dialWithin bounds a new connection to an upstream: some round trips between zones.
-	dialWithin = 400 * time.Millisecond
-	// idleUnknown and idleMargin keep requests from crossing an upstream's close.
-	idleUnknown = 300 * time.Millisecond
-	idleMargin  = 700 * time.Millisecond
-	// headWithin is the time in which a refusal of a request that was just sent comes.
-	headWithin = 50 * time.Millisecond
-	// silentAfter ends connections to upstreams whose VM stopped acknowledging.
-	silentAfter = 3 * time.Second
-	// callerIdle and callerHeader bound callers' connections while no routes are
-	// known and beyond what operators set: net/http cannot change them later.
-	callerIdle   = 5 * time.Minute
-	callerHeader = time.Minute
-	// quietFor is the silence of all callers that tells that the balancer sends them
-	// elsewhere: it asks each second.
-	quietFor = time.Second
-	// quietEach is the pause between two looks at that.
-	quietEach = 50 * time.Millisecond
-	// closeSpare is left for the answers to the latest callers when a stopping gateway
-	// takes no more connections: some round trips. What would last longer is refused
-	// unrun before.
-	closeSpare = 200 * time.Millisecond
-	// stopSpare is left of the time to stop when requests in flight are given up.
-	stopSpare = 250 * time.Millisecond
-	// retryShare keeps a little of the allowed attempts unused, for windows that
-	// entries see differently.
-	retryShare = 0.85
-	// logQueue is a second's worth of lines.
-	logQueue = 512
-	// tableEntries is the table in which entries list themselves.
+	// gossipPeerTimeout is the silence after which the state of a peer is not used any more: a few
+	// lost messages in a row.
+	gossipPeerTimeout = 1500 * time.Millisecond
+	// directoryInterval bounds how late entries that have lost contact with each other find out.
+	// directoryReadSpacing bounds the calls of all entries for that: two reads a second and, for
+	// renewals, two thirds of a call.
+	directoryInterval    = 10 * time.Second
+	directoryReadSpacing = 500 * time.Millisecond
+	// directoryRetryInterval is the time after which a refused renewal is sent again.
+	directoryRetryInterval = 2 * time.Second
+	// directoryCallTimeout bounds one call for the list of entries.
+	directoryCallTimeout = 1500 * time.Millisecond
+	// directoryContactTimeout is the time in which a starting entry receives a message of one of
+	// the listed entries: a few round trips, a busy processor and a lost message.
+	directoryContactTimeout = time.Second
+	// directoryFirstReadSpread spreads the first reads of the list when a whole deployment starts
+	// for the first time, so that a hundred calls reach the store one after another.
+	directoryFirstReadSpread = time.Second
+	// directoryAlonePauseMax bounds the pause after which an entry that found no other entry reads
+	// the list again. It covers many calls to the store, so that only few of hundreds of entries
+	// that start together repeat the read.
+	directoryAlonePauseMax = 300 * time.Millisecond
+	// directoryWriteSpacing spreads the rows that entries write when they start together. The store
+	// accepts twice this rate.
+	directoryWriteSpacing = 10 * time.Millisecond
+	// directoryPeersTimeout is the time in which an entry in contact reports the other entries: a
+	// few round trips and a busy processor.
+	directoryPeersTimeout = 150 * time.Millisecond
+	// listedTimeout is how long a starting entry waits for the list of entries before it reads the
+	// tables from the store: a few calls, also while the store is slow.
+	listedTimeout = time.Second
+	// sweepInterval is the time between two checks for lapsed upstreams and idle connections.
+	sweepInterval = 250 * time.Millisecond
+	// dialTimeout bounds the time to connect to an upstream: a few round trips between zones.
+	dialTimeout = 400 * time.Millisecond
+	// defaultUpstreamIdle is how long an idle connection is kept if the upstream does not state its
+	// idle timeout. upstreamIdleMargin is subtracted from a stated timeout. Both keep a request
+	// from being sent while the upstream closes the connection.
+	defaultUpstreamIdle = 300 * time.Millisecond
+	upstreamIdleMargin  = 700 * time.Millisecond
+	// cancelledHeadTimeout is how long the response headers of a cancelled request are awaited. A
+	// refusal of a request that was just sent arrives within this time.
+	cancelledHeadTimeout = 50 * time.Millisecond
+	// silenceTimeout closes connections to upstreams whose VM has stopped acknowledging data.
+	silenceTimeout = 3 * time.Second
+	// callerIdleTimeout and callerHeaderTimeout bound connections of callers while no routes are
+	// known, and are an upper bound for the limits that operators set, because net/http cannot
+	// change them later.
+	callerIdleTimeout   = 5 * time.Minute
+	callerHeaderTimeout = time.Minute
+	// quietPeriod is the time without any request after which a stopping gateway concludes that the
+	// load balancer sends callers elsewhere. The balancer checks readiness each second.
+	quietPeriod = time.Second
+	// quietPollInterval is the time between two checks of that.
+	quietPollInterval = 50 * time.Millisecond
+	// closeReserve is the time that remains for the responses to the latest callers once a stopping
+	// gateway accepts no more connections: a few round trips. Requests that would take longer are
+	// refused before, without being executed.
+	closeReserve = 200 * time.Millisecond
+	// stopReserve is the part of the stop time that remains when requests in flight are given up.
+	stopReserve = 250 * time.Millisecond
+	// retryBudgetShare is the part of the allowed additional attempts that entries use. The rest
+	// compensates for windows that differ between entries.
+	retryBudgetShare = 0.85
+	// logQueueLines is the size of the log queue: the lines of about a second.
+	logQueueLines = 512
+	// tableEntries is the table in which entries register themselves.
 	tableEntries = "entries"
 )
 
-// RunGateway runs a gateway until it is told to stop.
+// RunGateway runs a gateway until the process is told to stop.
 func RunGateway(ctx context.Context, s GatewaySettings, logs io.Writer) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -182,36 +195,36 @@
 	})
 }
 
-// gatewayBuilder holds the parts of a gateway.
+// gatewayBuilder holds the parts of a gateway while the kernel builds and starts them.
 type gatewayBuilder struct {
 	settings GatewaySettings
-	// life tells the starts of this process apart.
-	life   string
-	lines  *logline.Writer
-	rec    *events.Recorder
-	reg    *prometheus.Registry
-	store  *product.Store
-	log    *relay.Log
-	source *relay.Store
-	routes *belief.Routes
-	// behind tells when others know later routes than the store.
+	// incarnation is the identifier of this run of the process.
+	incarnation string
+	logWriter   *logline.Writer
+	rec         *events.Recorder
+	reg         *prometheus.Registry
+	store       *product.Store
+	relayLog    *relay.Log
+	source      *relay.Store
+	routes      *belief.Routes
+	// behind detects that other entries have later routes than the store.
 	behind belief.Behind
 	fleet  *fleet.Set
-	// upstreams takes over the rows of the fleet.
-	upstreams *upstreamRows
-	pool      *link.Pool
-	gateway   *gateway.Gateway
-	callers   *httpServer
-	tables    *belief.Follower
-	members   *belief.Follower
-	gossip    *gossip.Node
-	directory *directory.Directory
-	watch     *runWatch
-	lag       *runLag
-	// verdicts is the number of requests held for what this entry saw, as of the latest
-	// renewal of its row.
-	verdicts int
-	// listed is closed by listedOnce when the list of entries was first read.
+	// upstreams applies the rows of the upstreams table to the fleet.
+	upstreams         *upstreamRows
+	pool              *link.Pool
+	gateway           *gateway.Gateway
+	callers           *httpServer
+	routesFollower    *belief.Follower
+	upstreamsFollower *belief.Follower
+	gossip            *gossip.Node
+	directory         *directory.Directory
+	stalls            *stallDetector
+	lags              *lagDetector
+	// publishedVerdicts is the number of quarantine verdicts of this entry as of the latest renewal
+	// of its row.
+	publishedVerdicts int
+	// listed is closed by listedOnce once the list of entries has been read.
 	listed     chan struct{}
 	listedOnce sync.Once
 	ctx        context.Context
@@ -219,27 +232,27 @@
 }
 
 func newGatewayBuilder(s GatewaySettings, logs io.Writer) *gatewayBuilder {
-	b := &gatewayBuilder{settings: s, reg: prometheus.NewRegistry(), watch: newRunWatch(time.Now), lag: newRunLag(time.Now), listed: make(chan struct{})}
+	b := &gatewayBuilder{settings: s, reg: prometheus.NewRegistry(), stalls: newStallDetector(time.Now), lags: newLagDetector(time.Now), listed: make(chan struct{})}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
-	b.lines = logline.New(logline.Settings{Lines: s.LogLines, Queue: logQueue}, logs, time.Now)
-	b.life = newIncarnation()
-	log := newLogger(b.lines).WithValues("process", s.Name, "incarnation", b.life)
-	b.rec = events.New(log, s.Name, b.life, s.TimelineSize, time.Now)
+	b.logWriter = logline.New(logline.Settings{Lines: s.LogLines, Queue: logQueueLines}, logs, time.Now)
+	b.incarnation = newIncarnation()
+	log := newLogger(b.logWriter).WithValues("process", s.Name, "incarnation", b.incarnation)
+	b.rec = events.New(log, s.Name, b.incarnation, s.TimelineSize, time.Now)
 	b.reg.MustRegister(collectors.NewGoCollector())
 	b.store = belief.Anchored(platform.NewStore(s.Store, storeClient()), time.Now)
-	b.log = relay.NewLog(time.Now)
+	b.relayLog = relay.NewLog(time.Now)
 	b.source = relay.New(relay.Settings{
-		Name: s.Name, Zone: s.Zone, Size: s.size(), Delegates: delegates, ListedWithin: listedWithin,
-		Wait: relayWait, Slack: relaySlack, Stale: relayStale, AvoidFor: relayAvoid, AvoidStaleFor: relayAvoidStale, CallEach: relayCallEach, RetryAfter: relayRetry,
-	}, b.store, b.log, b.relayPeers, b.listed, b.rec, time.Now)
+		Name: s.Name, Zone: s.Zone, Size: s.size(), Delegates: delegateCount, ListedWithin: listedTimeout,
+		Wait: relayWait, Slack: relayTimeoutMargin, Stale: relayMaxAge, AvoidFor: relayAvoidFailed, AvoidStaleFor: relayAvoidStale, CallEach: relayCallInterval, RetryAfter: relayRetryInterval,
+	}, b.store, b.relayLog, b.relayPeers, b.listed, b.rec, time.Now)
 	b.routes = belief.NewRoutes(platform.RowRoutes, platform.DecodeRoutes, b.rec, time.Now)
 	b.fleet = fleet.New(b.rec, time.Now, func(id string) { b.gateway.Evacuate(id) })
 	b.upstreams = newUpstreamRows(platform.DecodeUpstream, b.fleet, newBadRows(events.UpstreamRejected, platform.Reason, b.reg, b.rec, time.Now))
 	proto := platform.NewProtocol()
-	b.pool = link.New(link.Settings{DialWithin: dialWithin, IdleUnknown: idleUnknown, IdleMargin: idleMargin, HeadWithin: headWithin, IDHeader: proto.IDHeader}, dialer(), time.Now)
+	b.pool = link.New(link.Settings{DialWithin: dialTimeout, IdleUnknown: defaultUpstreamIdle, IdleMargin: upstreamIdleMargin, HeadWithin: cancelledHeadTimeout, IDHeader: proto.IDHeader}, dialer(), time.Now)
 	b.gateway = gateway.New(gateway.Settings{
-		Name: s.Name, Life: b.life, Zone: s.Zone, RoutesTrusted: s.KeyBound - trustMargin, HardKeyBound: s.KeyBoundHard,
-		RetryRatio: s.RetryRatio * retryShare, RetryExtra: s.RetryExtra * retryShare, RetryWindow: s.RetryWindow,
+		Name: s.Name, Life: b.incarnation, Zone: s.Zone, RoutesTrusted: s.KeyBound - keyBoundMargin, HardKeyBound: s.KeyBoundHard,
+		RetryRatio: s.RetryRatio * retryBudgetShare, RetryExtra: s.RetryExtra * retryBudgetShare, RetryWindow: s.RetryWindow,
 	}, b.routes, b.fleet, b.pool, proto, gateway.Others{
 		Nudge: func() { b.gossip.Nudge() },
 		Heard: func() map[string]gossip.Peer { return b.gossip.Peers() },
@@ -255,8 +268,8 @@
 		},
 	}, b.rec, b.reg, time.Now)
 	b.gateway.Quarantine().SetName(s.Name)
-	b.tables = belief.New(followSettings(platform.TableRoutes, routesWait), b.source.Platform(), b.applyOperators(), b.routes.ConfirmCurrent, func() { b.members.Interrupt() }, b.rec, time.Now)
-	b.members = belief.New(followSettings(platform.TableUpstreams, upstreamsWait), b.source.Platform(), b.applyUpstreams, func(time.Time) {}, func() {}, b.rec, time.Now)
+	b.routesFollower = belief.New(followSettings(platform.TableRoutes, routesWait), b.source.Platform(), b.applyOperators(), b.routes.ConfirmCurrent, func() { b.upstreamsFollower.Interrupt() }, b.rec, time.Now)
+	b.upstreamsFollower = belief.New(followSettings(platform.TableUpstreams, upstreamsWait), b.source.Platform(), b.applyUpstreams, func(time.Time) {}, func() {}, b.rec, time.Now)
 	return b
 }
 
@@ -265,9 +278,9 @@
 		Name:  serviceLog,
 		Build: func(*kernel.Registry) (any, error) { return b.rec, nil },
 		Start: func(context.Context, *kernel.Registry) error {
-			go b.countDropped()
-			go b.lag.watch(b.ctx, b.watch.look)
-			go watchReload(b.ctx, b.rec, b.settings.String())
+			go b.reportDroppedLines()
+			go b.lags.run(b.ctx, b.stalls.tick)
+			go logReloads(b.ctx, b.rec, b.settings.String())
 			return nil
 		},
 		Stop: func(context.Context, *kernel.Registry) error {
@@ -278,16 +291,16 @@
 	}
 }
 
-// countDropped tells once a second how many lines were left out.
-func (b *gatewayBuilder) countDropped() {
+// reportDroppedLines logs once a second how many log lines were left out.
+func (b *gatewayBuilder) reportDroppedLines() {
 	b.every(time.Second, func() {
-		if n := b.lines.Dropped(); n > 0 {
+		if n := b.logWriter.Dropped(); n > 0 {
 			b.rec.Note(events.LinesDropped, "", "lines", n)
 		}
 	})
 }
 
-// every calls f each period until the process stops.
+// every calls f once each period until the process stops.
 func (b *gatewayBuilder) every(period time.Duration, f func()) {
 	t := time.NewTicker(period)
 	defer t.Stop()
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -19,16 +19,17 @@
 	"github.com/sparshore/sparshore/platform"
 )
 
-// dialer opens connections that end when the other VM goes silent.
+// dialer returns a function that opens connections which fail when the VM at the other end goes
+// silent.
 func dialer() func(ctx context.Context, address string) (net.Conn, error) {
 	d := &net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: silentAfter / 3, Interval: silentAfter / 3, Count: 2},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: silenceTimeout / 3, Interval: silenceTimeout / 3, Count: 2},
 		Control: func(_, _ string, c syscall.RawConn) error {
-			var failed error
+			var optErr error
 			err := c.Control(func(fd uintptr) {
-				failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silentAfter.Milliseconds()))
+				optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silenceTimeout.Milliseconds()))
 			})
-			return errors.Join(err, failed)
+			return errors.Join(err, optErr)
 		},
 	}
 	return func(ctx context.Context, address string) (net.Conn, error) {
@@ -43,18 +44,18 @@
 	r := mux.NewRouter()
 	r.Handle("/metrics", promhttp.HandlerFor(b.reg, promhttp.HandlerOpts{})).Methods(http.MethodGet)
 	r.HandleFunc("/admin/v1/status", b.status).Methods(http.MethodGet)
-	// A gateway knows no operators: who reaches this address may lift a quarantine.
+	// A gateway has no list of operators: anyone who reaches this address may lift a quarantine.
 	r.HandleFunc("/admin/v1/quarantine", b.gateway.Quarantine().ServeList).Methods(http.MethodGet)
 	r.HandleFunc("/admin/v1/quarantine/{fingerprint}", func(w http.ResponseWriter, r *http.Request) {
 		b.gateway.Quarantine().ServeLift(w, r, r.RemoteAddr)
 	}).Methods(http.MethodDelete)
-	return b.listenService(serviceMetrics, "--metrics-listen", b.settings.MetricsListen, &httpServer{server: &http.Server{Handler: r, ReadHeaderTimeout: callerHeader}, connections: unlimited()})
+	return b.listenService(serviceMetrics, "--metrics-listen", b.settings.MetricsListen, &httpServer{server: &http.Server{Handler: r, ReadHeaderTimeout: callerHeaderTimeout}, connections: newUnlimitedLimiter()})
 }
 
 func (b *gatewayBuilder) readinessService() kernel.Service {
 	r := mux.NewRouter()
 	r.HandleFunc(platform.PathReady, b.gateway.Ready).Methods(http.MethodGet)
-	return b.listenService(serviceReadiness, "--ready-listen", b.settings.ReadyListen, &httpServer{server: &http.Server{Handler: r, ReadHeaderTimeout: callerHeader, IdleTimeout: callerIdle}, connections: unlimited()})
+	return b.listenService(serviceReadiness, "--ready-listen", b.settings.ReadyListen, &httpServer{server: &http.Server{Handler: r, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout}, connections: newUnlimitedLimiter()})
 }
 
 func (b *gatewayBuilder) callerService() kernel.Service {
@@ -63,11 +64,11 @@
 	}, func(c *connlimit.Conn, request string, err error) {
 		b.rec.Note(events.AnswerUndelivered, request, "caller", c.Caller(), "ended-here", c.EndedHere(), "error", err)
 	})
-	b.callers = &httpServer{server: &http.Server{Handler: b.gateway, ReadHeaderTimeout: callerHeader, IdleTimeout: callerIdle}, connections: connections}
+	b.callers = &httpServer{server: &http.Server{Handler: b.gateway, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout}, connections: connections}
 	return b.listenService(serviceCallers, "--listen", b.settings.Listen, b.callers)
 }
 
-// callerLimits are the operator's limits for callers' connections.
+// callerLimits returns the limits that the operator set for connections of callers.
 func (b *gatewayBuilder) callerLimits() connlimit.Limits {
 	table, _ := b.routes.Current()
 	if table == nil {
@@ -77,7 +78,7 @@
 	return connlimit.Limits{Header: limits.HeaderWithin, Idle: limits.IdleWithin}
 }
 
-// listenService serves HTTP at an address.
+// listenService returns a service that serves HTTP at an address.
 func (b *gatewayBuilder) listenService(name kernel.Name, flag, address string, s *httpServer) kernel.Service {
 	return kernel.Service{
 		Name:  name,
@@ -99,8 +100,8 @@
 	}
 }
 
-// gatewayService is the last to start, so its stop comes first: callers in
-// flight are served before anything they need goes away.
+// gatewayService starts last and therefore stops first: requests in flight are finished before the
+// services that they depend on stop.
 func (b *gatewayBuilder) gatewayService() kernel.Service {
 	return kernel.Service{
 		Name:  serviceGateway,
@@ -113,40 +114,42 @@
 	}
 }
 
-// drain ends the callers' service: it lets the balancer notice, goes on serving those it
-// sends all the same, waits for the requests in flight, and gives up what is left.
+// drain stops serving callers. It waits until the load balancer has noticed, still serves the
+// callers that it sends, waits for the requests in flight and gives up those that are left.
 func (b *gatewayBuilder) drain(ctx context.Context, _ *kernel.Registry) error {
-	told, earliest := b.toldToStop()
-	within := b.settings.StopWithin - stopSpare
-	last, deadline := earliest.Add(within), told.Add(within)
-	b.rec.Note(events.ProcessStopping, "", "stop-within", b.settings.StopWithin, "noticed-after", time.Since(told), "at-most", time.Since(earliest))
-	b.gateway.DrainUntil(last, deadline)
-	b.awaitQuiet(time.Now().Add(min(gateway.NoticeTime, b.settings.StopWithin/3)), last.Add(-closeSpare))
+	signalled, earliest := b.stopSignalTimes()
+	within := b.settings.StopWithin - stopReserve
+	lastRequestEnd, deadline := earliest.Add(within), signalled.Add(within)
+	b.rec.Note(events.ProcessStopping, "", "stop-within", b.settings.StopWithin, "noticed-after", time.Since(signalled), "at-most", time.Since(earliest))
+	b.gateway.DrainUntil(lastRequestEnd, deadline)
+	b.awaitQuiet(time.Now().Add(min(gateway.NoticeTime, b.settings.StopWithin/3)), lastRequestEnd.Add(-closeReserve))
 	ctx = context.WithoutCancel(ctx)
-	served, cancel := context.WithDeadline(ctx, deadline.Add(-gateway.AnswerSpare))
+	drainCtx, cancel := context.WithDeadline(ctx, deadline.Add(-gateway.AnswerSpare))
 	defer cancel()
-	if err := b.callers.connections.Drain(served); err != nil {
+	if err := b.callers.connections.Drain(drainCtx); err != nil {
 		b.rec.Note(events.DrainTooShort, "", "error", err)
 		b.giveUp(ctx)
 	}
 	return b.callers.server.Close()
 }
 
-// toldToStop returns when the signal to stop came, as far as the process did not run at all before
-// it noticed, and the earliest time at which it may have come if it ran in moments only. Nothing is
-// taken that would end too late by the latter. What is in flight is not given up by it: on a busy
-// machine it is a second too early at times.
-func (b *gatewayBuilder) toldToStop() (told, earliest time.Time) {
-	told, earliest = b.watch.earliest(), b.lag.earliest()
-	if told.Before(earliest) {
-		return told, told
+// stopSignalTimes returns two estimates of when the stop signal was sent. signalled takes into
+// account only times in which the process did not run at all before it noticed the signal. earliest
+// also allows for a process that ran only for moments, and is never later.
+//
+// New requests that would end too late by earliest are refused. Requests in flight are given up by
+// signalled, because earliest is up to a second too early on a busy machine.
+func (b *gatewayBuilder) stopSignalTimes() (signalled, earliest time.Time) {
+	signalled, earliest = b.stalls.earliestSignal(), b.lags.earliestSignal()
+	if signalled.Before(earliest) {
+		return signalled, signalled
 	}
-	return told, earliest
+	return signalled, earliest
 }
 
-// giveUp lets the gateway answer what is still in flight. The time for that runs from
-// now: a process that did not get to run finds the end of its stop past as well, and
-// would close the connections before the answers are written.
+// giveUp lets the gateway answer the requests that are still in flight. The time for that runs from
+// now: if the process was not scheduled in time, the end of the stop has passed as well, and
+// connections would be closed before the responses are written.
 func (b *gatewayBuilder) giveUp(ctx context.Context) {
 	b.gateway.GiveUp()
 	ctx, cancel := context.WithTimeout(ctx, gateway.AnswerSpare)
@@ -156,15 +159,14 @@
 	}
 }
 
-// awaitQuiet returns when no caller has asked anything for a while, from the time
-// least on, and at the time most in any case. A balancer that finds all entries of
-// a zone stopping sends callers to them nevertheless, and a closed listener turns all of
-// these away.
-func (b *gatewayBuilder) awaitQuiet(least, most time.Time) {
-	for now := time.Now(); now.Before(most); now = time.Now() {
-		if now.After(least) && b.gateway.QuietFor() >= quietFor {
+// awaitQuiet returns once no request has arrived for quietPeriod, but not before notBefore, and at
+// notAfter in any case. A load balancer that finds all entries of a zone stopping still sends
+// callers to them, and a closed listener would turn all of these away.
+func (b *gatewayBuilder) awaitQuiet(notBefore, notAfter time.Time) {
+	for now := time.Now(); now.Before(notAfter); now = time.Now() {
+		if now.After(notBefore) && b.gateway.QuietFor() >= quietPeriod {
 			return
 		}
-		time.Sleep(quietEach)
+		time.Sleep(quietPollInterval)
 	}
 }
--- a/internal/daemon/gatewayhttp_test.go
+++ b/internal/daemon/gatewayhttp_test.go
@@ -14,7 +14,7 @@
 	"github.com/sparshore/sparshore/internal/protocol"
 )
 
-// TestAwaitQuiet covers how long a stopping gateway goes on taking connections.
+// TestAwaitQuiet covers how long a stopping gateway continues to accept connections.
 func TestAwaitQuiet(t *testing.T) {
 	const least, most, slack = 200 * time.Millisecond, 1500 * time.Millisecond, 300 * time.Millisecond
 	for _, tc := range []struct {
@@ -22,28 +22,28 @@
 		busy bool
 		want time.Duration
 	}{
-		{"callers still come: until the last moment", true, most},
-		{"nobody comes any more: once the balancer had time to notice", false, least},
+		{"callers keep arriving: waits until the deadline", true, most},
+		{"no callers arrive: waits until the balancer has noticed", false, least},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := &gatewayBuilder{watch: watched(t), gateway: gatewayWithoutRoutes()}
+			b := &gatewayBuilder{stalls: startStallDetector(t), gateway: newGatewayWithoutRoutes()}
 			done := make(chan struct{})
 			defer close(done)
 			if tc.busy {
-				go askUntil(b.gateway, done)
-				time.Sleep(quietEach)
+				go sendRequestsUntil(b.gateway, done)
+				time.Sleep(quietPollInterval)
 			}
 			start := time.Now()
 			b.awaitQuiet(start.Add(least), start.Add(most))
 			if took := time.Since(start); took < tc.want || took > tc.want+slack {
-				t.Errorf("took no more connections after %s, want %s", took, tc.want)
+				t.Errorf("stopped accepting connections after %s, want %s", took, tc.want)
 			}
 		})
 	}
 }
 
-// gatewayWithoutRoutes refuses every request.
-func gatewayWithoutRoutes() *gateway.Gateway {
+// newGatewayWithoutRoutes returns a gateway that refuses every request.
+func newGatewayWithoutRoutes() *gateway.Gateway {
 	proto := protocol.Protocol{
 		Decode: func(*http.Request, time.Time) protocol.Call { return protocol.Call{} },
 		Refuse: func(w http.ResponseWriter, _ *protocol.Call, r protocol.Refusal, _ time.Time) {
@@ -54,12 +54,12 @@
 	return gateway.New(gateway.Settings{}, routes, nil, nil, proto, gateway.Others{Urge: func() {}}, events.Nop(), prometheus.NewRegistry(), time.Now)
 }
 
-func askUntil(h http.Handler, done <-chan struct{}) {
+func sendRequestsUntil(h http.Handler, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
-		case <-time.After(quietEach):
+		case <-time.After(quietPollInterval):
 			h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 		}
 	}
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -28,18 +28,18 @@
 				return nil, fmt.Errorf("--gossip-listen: %w", err)
 			}
 			b.gossip = gossip.New(gossip.Settings{
-				Name: b.settings.Name, Zone: b.settings.Zone, Entry: b.listedAs(), Life: b.life,
-				Every: gossipEvery, Least: gossipLeast, Urgent: gossipUrgent, Rate: gossipRate, UrgentRate: gossipUrgentRate, Forget: gossipForget,
-			}, conn, b.ownState, b.peerState, b.gateway.Limits(), b.rec, time.Now)
-			registerEntries(b.reg, b.gossip.Stats)
+				Name: b.settings.Name, Zone: b.settings.Zone, Entry: b.ownEntry(), Life: b.incarnation,
+				Every: gossipInterval, Least: gossipIntervalMin, Urgent: gossipUrgentIntervalMin, Rate: gossipRate, UrgentRate: gossipUrgentRate, Forget: gossipPeerTimeout,
+			}, conn, b.ownState, b.applyPeerState, b.gateway.Limits(), b.rec, time.Now)
+			registerGossipMetrics(b.reg, b.gossip.Stats)
 			return b.gossip, nil
 		},
 		Start: func(context.Context, *kernel.Registry) error {
 			b.directory = directory.New(directory.Settings{
-				Table: tableEntries, Name: b.settings.Name, Entry: b.listedAs(),
-				Every: directoryEvery, ReadEach: directoryReadEach, Again: directoryAgain, CallWithin: directoryCall, HeardWithin: directoryHeard,
-				Together: b.settings.StartTogether, TogetherWithin: directoryTogether, AloneWithin: directoryAlone, ToldWithin: directoryTold, WriteEach: directoryWriteEach,
-			}, b.store, directory.Others{Found: b.found, Heard: b.othersHeard, Known: b.othersKnown}, directory.Carried{Value: b.heldRequests, Heard: b.heardHeld}, b.rec, time.Now)
+				Table: tableEntries, Name: b.settings.Name, Entry: b.ownEntry(),
+				Every: directoryInterval, ReadEach: directoryReadSpacing, Again: directoryRetryInterval, CallWithin: directoryCallTimeout, HeardWithin: directoryContactTimeout,
+				Together: b.settings.StartTogether, TogetherWithin: directoryFirstReadSpread, AloneWithin: directoryAlonePauseMax, ToldWithin: directoryPeersTimeout, WriteEach: directoryWriteSpacing,
+			}, b.store, directory.Others{Found: b.applyEntryList, Heard: b.liveEntries, Known: b.markListed}, directory.Carried{Value: b.encodeHeldRequests, Heard: b.recallHeldRequests}, b.rec, time.Now)
 			go b.gossip.Run(b.ctx)
 			go b.directory.Run(b.ctx)
 			return nil
@@ -47,17 +47,17 @@
 	}
 }
 
-// listedAs is how this entry lists itself.
-func (b *gatewayBuilder) listedAs() roster.Entry {
+// ownEntry returns this entry as it registers itself in the list of entries.
+func (b *gatewayBuilder) ownEntry() roster.Entry {
 	s := b.settings
 	return roster.Entry{Address: s.GossipListen, Relay: s.RelayListen, Zone: s.Zone, Size: s.size()}
 }
 
-// othersHeard is the number of other entries that are heard.
-func (b *gatewayBuilder) othersHeard() int { return len(b.gossip.Heard()) }
+// liveEntries returns the number of other entries that this entry receives gossip from.
+func (b *gatewayBuilder) liveEntries() int { return len(b.gossip.Heard()) }
 
-// relayPeers returns the entries that can be asked for tables. One that is listed may be asked
-// before it is heard, so that an entry that starts need not read the tables from the store.
+// relayPeers returns the entries that can be asked for tables. This includes listed entries that
+// have not sent gossip yet, so that a starting entry need not read the tables from the store.
 func (b *gatewayBuilder) relayPeers() []relay.Peer {
 	var out []relay.Peer
 	b.gossip.Each(func(name string, p *gossip.Peer) {
@@ -73,26 +73,26 @@
 	return out
 }
 
-// relayService answers other entries' questions for what the store said.
+// relayService answers requests of other entries for what the store reported.
 func (b *gatewayBuilder) relayService() kernel.Service {
-	methods := func(*kernel.Registry) (peer.Methods, error) { return b.log.Methods(), nil }
+	methods := func(*kernel.Registry) (peer.Methods, error) { return b.relayLog.Methods(), nil }
 	return listenForPeers(b.rec, "--relay-listen", b.settings.RelayListen, methods, func(*kernel.Registry) func(*peer.Conn) { return nil })
 }
 
-// found takes over the list of entries.
-func (b *gatewayBuilder) found(listed map[string]roster.Entry) {
+// applyEntryList applies the list of entries that was read.
+func (b *gatewayBuilder) applyEntryList(listed map[string]roster.Entry) {
 	b.gossip.Know(listed)
 	if _, own := listed[b.settings.Name]; own {
 		b.gateway.Registered(len(listed))
 	}
 }
 
-// othersKnown lets the tables be read: it is known whom to ask.
-func (b *gatewayBuilder) othersKnown() { b.listedOnce.Do(func() { close(b.listed) }) }
+// markListed allows the tables to be read: the entries that can be asked for them are known.
+func (b *gatewayBuilder) markListed() { b.listedOnce.Do(func() { close(b.listed) }) }
 
-// heldRequests is what the own row in the list of entries holds of requests that end
-// upstreams.
-func (b *gatewayBuilder) heldRequests() []byte {
+// encodeHeldRequests returns the quarantined requests in the form in which the row of this entry in
+// the list of entries holds them; nil if there are none.
+func (b *gatewayBuilder) encodeHeldRequests() []byte {
 	held := b.gateway.Quarantine().Held()
 	if len(held) == 0 {
 		return nil
@@ -105,9 +105,9 @@
 	return value
 }
 
-// heardHeld takes over what an entry's row holds of them: an entry that starts when all others
-// are gone learns of them by nothing else.
-func (b *gatewayBuilder) heardHeld(entry string, value []byte, age time.Duration) {
+// recallHeldRequests takes over the quarantined requests in the row of another entry. For an entry
+// that starts when all others are gone, the rows are the only source for them.
+func (b *gatewayBuilder) recallHeldRequests(entry string, value []byte, age time.Duration) {
 	var held []quarantine.Message
 	if err := cbor.Unmarshal(value, &held); err != nil {
 		b.rec.Note(events.RegisterFailed, "", "row", entry, "error", err)
@@ -116,15 +116,15 @@
 	b.gateway.Quarantine().Recall(quarantine.Decode(held, time.Now().Add(-max(age, 0))))
 }
 
-// tellHeld writes the own row anew once a request is held for what this entry saw.
-func (b *gatewayBuilder) tellHeld() {
-	if n := b.gateway.Quarantine().Verdicts(); n != b.verdicts {
-		b.verdicts = n
+// publishVerdicts renews the row of this entry once it has quarantined another request.
+func (b *gatewayBuilder) publishVerdicts() {
+	if n := b.gateway.Quarantine().Verdicts(); n != b.publishedVerdicts {
+		b.publishedVerdicts = n
 		b.directory.RenewSoon()
 	}
 }
 
-// ownState is what this gateway tells the others.
+// ownState returns the state that this gateway gossips to the others.
 func (b *gatewayBuilder) ownState() gossip.State {
 	s := gossip.State{
 		Zone: b.settings.Zone, Relay: b.settings.RelayListen, Loads: b.gateway.Load(),
@@ -137,8 +137,8 @@
 	return s
 }
 
-// peerState takes over what another gateway told.
-func (b *gatewayBuilder) peerState(from string, s gossip.State) {
+// applyPeerState applies the state that another gateway gossiped.
+func (b *gatewayBuilder) applyPeerState(from string, s gossip.State) {
 	b.gateway.PeerLoad(from, s.Loads)
 	b.gateway.PeerRetryUse(from, s.Retries, s.HeardUs)
 	b.fleet.PeerFaults(from, s.Faults)
@@ -149,14 +149,14 @@
 		b.routes.Confirm(s.Routes, s.Confirmed)
 	}
 	if table, confirmed := b.routes.Current(); table != nil && b.behind.Hear(table.Version(), s.Routes, confirmed, time.Now()) {
-		go b.catchUp(from)
+		go b.fetchLaterRoutes(from)
 	}
 }
 
-// catchUp takes the route table of another entry that has a later one: the store came back from a
-// copy and does not have it.
-func (b *gatewayBuilder) catchUp(from string) {
-	ctx, cancel := context.WithTimeout(b.ctx, relaySlack)
+// fetchLaterRoutes takes the route table of another entry that has a later one. This happens after
+// the store was restored from an older copy that lacks the latest table.
+func (b *gatewayBuilder) fetchLaterRoutes(from string) {
+	ctx, cancel := context.WithTimeout(b.ctx, relayTimeoutMargin)
 	defer cancel()
 	s, err := b.source.ListFrom(ctx, from, platform.TableRoutes)
 	if err != nil {
--- a/internal/daemon/gatewaystatus.go
+++ b/internal/daemon/gatewaystatus.go
@@ -10,7 +10,7 @@
 	"github.com/sparshore/sparshore/internal/fleet"
 )
 
-// peerStatus is another entry, or an upstream, in a gateway's status page.
+// peerStatus describes another entry or an upstream in the status page of a gateway.
 type peerStatus struct {
 	VM       string  `json:"vm"`
 	Zone     string  `json:"zone"`
@@ -23,29 +23,30 @@
 	UsedPart float64 `json:"used_part"`
 }
 
-// badRowStatus is a row of an upstream that cannot be used.
+// badRowStatus describes the row of an upstream that cannot be used.
 type badRowStatus struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 	Reason  string `json:"reason"`
 }
 
-// limitStatus is an upstream that takes only so many requests a second.
+// limitStatus describes an upstream with a rate limit.
 type limitStatus struct {
 	Upstream string  `json:"upstream"`
 	Rate     float64 `json:"requests_per_s"`
-	// Since is when this entry first knew of it, and Named when it was last named.
+	// Since is when this entry learned of the limit, and Named when the upstream is last known to
+	// have stated it.
 	Since time.Time `json:"since"`
 	Named time.Time `json:"named"`
-	// Granter is the entry that grants permits for requests to it.
+	// Granter is the entry that grants permits for requests to the upstream.
 	Granter string `json:"granter,omitempty"`
 }
 
-// statusBody is a gateway's status page, in the shape of an entry's.
+// statusBody is the status page of a gateway. It has the form of the status page of an entry.
 type statusBody struct {
 	Process string `json:"process"`
 	Zone    string `json:"zone"`
-	// Version is that of the route table in force, and Accepted tells that it is
+	// Version is the version of the route table in force. Accepted is set while that version is
 	// confirmed.
 	Version  int64          `json:"version"`
 	Accepted bool           `json:"accepted"`
@@ -54,7 +55,7 @@
 	Limits   []limitStatus  `json:"limits"`
 }
 
-// The states of upstreams and entries for operators.
+// The states of upstreams and entries in the status page.
 const (
 	stateUp        = "up"
 	stateBackOff   = "back-off"
@@ -63,14 +64,14 @@
 	stateSuspected = "suspected"
 )
 
-// status answers operators with what this gateway knows of other processes.
+// status returns to operators what this gateway knows of other processes.
 func (b *gatewayBuilder) status(w http.ResponseWriter, _ *http.Request) {
 	out := statusBody{Process: b.settings.Name, Zone: b.settings.Zone, Peers: b.peerStatuses(), BadRows: b.upstreams.bad.list(), Limits: b.limitStatuses()}
 	if table, confirmed := b.routes.Current(); table != nil {
 		out.Version, out.Accepted = int64(table.Version()), time.Since(confirmed) < b.settings.KeyBound
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An operator who left asks again.
+	// An error means that the operator disconnected.
 	_ = json.NewEncoder(w).Encode(out)
 }
 
--- a/internal/daemon/gatewaystore.go
+++ b/internal/daemon/gatewaystore.go
@@ -15,24 +15,24 @@
 
 func followSettings(table string, wait time.Duration) belief.Settings {
 	return belief.Settings{
-		Table: table, Wait: wait, Slack: followSlack, ListWithin: followList,
-		PauseLeast: followPauseLeast, PauseMost: followPauseMost, SettleFor: settleFor, RestoreFor: restoreFor, Gather: followGather, GatherMost: followGatherMost,
+		Table: table, Wait: wait, Slack: followTimeoutMargin, ListWithin: followListTimeout,
+		PauseLeast: followBackoffMin, PauseMost: followBackoffMax, SettleFor: settleTime, RestoreFor: restoreTime, Gather: followBatchDelayMin, GatherMost: followBatchDelayMax,
 	}
 }
 
-// storeClient keeps few connections: one for each table followed and one for
-// other calls.
+// storeClient returns an HTTP client that keeps few connections: one for each table that is
+// followed and one for other calls.
 func storeClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialWithin}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConnsPerHost: 3,
 		DisableCompression:  true,
 	}}
 }
 
-// applyUpstreams hands the rows of upstreams to the fleet.
+// applyUpstreams applies rows of the upstreams table to the fleet.
 func (b *gatewayBuilder) applyUpstreams(s product.Snapshot, full bool) {
-	settled, _ := b.members.Settled()
+	settled, _ := b.upstreamsFollower.Settled()
 	if s.Restored {
 		b.upstreams.restore(s.Records, settled)
 		return
@@ -40,27 +40,28 @@
 	b.upstreams.apply(s.Records, full, settled)
 }
 
-// applyOperators returns what takes over the rows that operators write: the route table
-// and the zones that they closed.
+// applyOperators returns a function that applies the rows that operators write: the route table and
+// the zones that they closed.
 func (b *gatewayBuilder) applyOperators() func(s product.Snapshot, full bool) {
 	zones := belief.NewZones(platform.ClosedZone, b.fleet.CloseZones)
 	return func(s product.Snapshot, full bool) {
 		b.routes.Apply(s, full)
 		if row, ok := b.routes.Kept(); ok {
-			b.log.Keep(platform.TableRoutes, row)
+			b.relayLog.Keep(platform.TableRoutes, row)
 		}
 		zones.Apply(s, full)
 		if s.Restored {
-			b.listAgain()
+			b.renewAfterRestore()
 		}
 	}
 }
 
-// listAgain writes the own row anew some time after the store was restored from a copy, which may lack
-// it. Entries spread over the time in which the store takes the rows of all.
-func (b *gatewayBuilder) listAgain() {
+// renewAfterRestore renews the row of this entry after a random delay. The store was restored from
+// an older copy that may lack the row. The delays of all entries are spread over the time in which
+// the store can accept their rows.
+func (b *gatewayBuilder) renewAfterRestore() {
 	entries := len(b.gossip.Peers()) + 1
-	time.AfterFunc(time.Duration(rand.Int64N(int64(entries)*int64(directoryWriteEach)+1)), b.directory.RenewSoon)
+	time.AfterFunc(time.Duration(rand.Int64N(int64(entries)*int64(directoryWriteSpacing)+1)), b.directory.RenewSoon)
 }
 
 func (b *gatewayBuilder) followService() kernel.Service {
@@ -68,26 +69,26 @@
 		Name:  serviceFollow,
 		Build: func(*kernel.Registry) (any, error) { return b.routes, nil },
 		Start: func(context.Context, *kernel.Registry) error {
-			go b.tables.Run(b.ctx)
-			go b.members.Run(b.ctx)
+			go b.routesFollower.Run(b.ctx)
+			go b.upstreamsFollower.Run(b.ctx)
 			go b.sweep()
 			return nil
 		},
 	}
 }
 
-// sweep ends what has a time limit and, while the store cannot tell, asks the
-// engines themselves whether they leave.
+// sweep ends what has expired. While the store cannot be reached, it asks the engines themselves
+// whether they leave.
 func (b *gatewayBuilder) sweep() {
-	b.every(sweepEvery, func() {
+	b.every(sweepInterval, func() {
 		b.fleet.Sweep()
 		b.pool.Sweep()
 		b.gateway.ForgetSilent()
 		b.gateway.CountHeard()
 		b.gateway.SweepQuarantine()
 		b.gateway.SweepLimits()
-		b.tellHeld()
-		if _, ok := b.members.Settled(); !ok {
+		b.publishVerdicts()
+		if _, ok := b.upstreamsFollower.Settled(); !ok {
 			b.gateway.InquireAll(b.ctx)
 		}
 	})
--- a/internal/daemon/httpserver.go
+++ b/internal/daemon/httpserver.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// headerWithin bounds the time in which the headers of a request have to arrive.
-	headerWithin = time.Minute
-	// callerSendBuffer bounds what a socket to a caller can hold, in bytes, so that a lost
-	// entry takes no more with it than sidecars keep for a resume.
+	// headerTimeout bounds the time in which the headers of a request have to arrive.
+	headerTimeout = time.Minute
+	// callerSendBuffer bounds the unsent bytes in the socket of a caller. An entry that crashes
+	// must not lose more than the sidecars retain for a resume.
 	callerSendBuffer = 32 << 10
 )
 
@@ -24,32 +24,33 @@
 	listener    net.Listener
 }
 
-// unlimited are connections that only the server's own times and a stop end.
-func unlimited() *connlimit.Limiter {
+// newUnlimitedLimiter returns a Limiter without limits: only the timeouts of the server and a
+// planned stop close connections.
+func newUnlimitedLimiter() *connlimit.Limiter {
 	return connlimit.New(func() connlimit.Limits { return connlimit.Limits{} }, func(net.Conn, string) {}, func(*connlimit.Conn, string, error) {})
 }
 
-// start serves in the background.
+// start serves a listener in the background.
 func (s *httpServer) start(l net.Listener) {
 	s.listener = s.connections.Install(s.server, l)
 	go func() { _ = s.server.Serve(s.listener) }()
 }
 
-// stop takes no new connections, ends idle ones and waits for the requests in flight
-// until ctx ends. It returns why some were cut.
+// stop accepts no new connections, closes idle ones and waits for the requests in flight until ctx
+// ends. It returns an error if it closed connections with requests in flight.
 func (s *httpServer) stop(ctx context.Context) error {
-	cut := s.connections.Drain(ctx)
+	drainErr := s.connections.Drain(ctx)
 	if err := s.server.Close(); err != nil {
 		return err
 	}
-	return cut
+	return drainErr
 }
 
-// smallBuffers accepts connections that hold little that is not sent.
-type smallBuffers struct{ net.Listener }
+// smallBufferListener accepts connections with a small send buffer.
+type smallBufferListener struct{ net.Listener }
 
-// Accept waits for the next connection.
-func (l smallBuffers) Accept() (net.Conn, error) {
+// Accept waits for the next connection and sets its send buffer.
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/daemon/httpserver_test.go
+++ b/internal/daemon/httpserver_test.go
@@ -10,7 +10,7 @@
 )
 
 func newTestServer(h http.Handler) *httpServer {
-	return &httpServer{server: &http.Server{Handler: h}, connections: unlimited()}
+	return &httpServer{server: &http.Server{Handler: h}, connections: newUnlimitedLimiter()}
 }
 
 // listen starts a server on a free port.
@@ -20,13 +20,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.start(smallBuffers{l})
+	s.start(smallBufferListener{l})
 }
 
-// A process stops when the headers of a request on a kept connection have just been read
-// and its handler has not begun. The server dropped the request and closed the connection
-// without an answer. The server is held there until the stop has closed the listener.
-func TestRequestReadAsTheServerStopsIsAnswered(t *testing.T) {
+// TestRequestReadDuringStopIsAnswered guards against a stop that drops a request. The headers of a
+// request on a reused connection have just been read and its handler has not started. http.Server
+// drops such a request during Shutdown and closes the connection without a response. The server is
+// blocked at this point until the stop has closed the listener.
+func TestRequestReadDuringStopIsAnswered(t *testing.T) {
 	s := newTestServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.URL.Path) }))
 	requests, read := 0, make(chan struct{})
 	s.server.BaseContext = func(l net.Listener) context.Context {
@@ -46,23 +47,23 @@
 	listen(t, s)
 	client := &http.Client{Transport: &http.Transport{}}
 	url := "http://" + s.listener.Addr().String()
-	if got, err := body(client.Get(url + "/first")); err != nil || got != "/first" {
-		t.Fatalf("first answer %q, %v", got, err)
+	if got, err := readBody(client.Get(url + "/first")); err != nil || got != "/first" {
+		t.Fatalf("first response %q, %v", got, err)
 	}
 	stopped := make(chan error)
 	go func() {
 		<-read
 		stopped <- s.stop(t.Context())
 	}()
-	if got, err := body(client.Post(url+"/second", "text/plain", nil)); err != nil || got != "/second" {
-		t.Errorf("the request that was read got %q, %v", got, err)
+	if got, err := readBody(client.Post(url+"/second", "text/plain", nil)); err != nil || got != "/second" {
+		t.Errorf("response to the request that was read: %q, %v", got, err)
 	}
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
 }
 
-// awaitNoListener returns when nobody listens at an address any more.
+// awaitNoListener returns once connections to an address are refused.
 func awaitNoListener(address string) {
 	for {
 		c, err := net.Dial("tcp", address)
@@ -73,7 +74,7 @@
 	}
 }
 
-func body(resp *http.Response, err error) (string, error) {
+func readBody(resp *http.Response, err error) (string, error) {
 	if err != nil {
 		return "", err
 	}
@@ -82,9 +83,9 @@
 	return string(b), err
 }
 
-// A stop waits for no caller that keeps a connection without a request, and no longer
-// for a request than it may.
-func TestStopEndsWithoutRequestsAndAtItsDeadline(t *testing.T) {
+// TestStopIgnoresIdleConnectionsAndEndsAtDeadline checks that a stop does not wait for idle
+// connections, and not for a request beyond its context.
+func TestStopIgnoresIdleConnectionsAndEndsAtDeadline(t *testing.T) {
 	running, end := make(chan struct{}), make(chan struct{})
 	s := newTestServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
@@ -94,15 +95,15 @@
 	}))
 	defer close(end)
 	listen(t, s)
-	client, other := &http.Client{Transport: &http.Transport{}}, &http.Client{Transport: &http.Transport{}}
+	client, idle := &http.Client{Transport: &http.Transport{}}, &http.Client{Transport: &http.Transport{}}
 	url := "http://" + s.listener.Addr().String()
-	asked := make(chan error)
+	answered := make(chan error)
 	go func() {
-		_, err := body(client.Get(url + "/long"))
-		asked <- err
+		_, err := readBody(client.Get(url + "/long"))
+		answered <- err
 	}()
 	<-running
-	if _, err := body(other.Get(url + "/short")); err != nil {
+	if _, err := readBody(idle.Get(url + "/short")); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -117,9 +118,9 @@
 	}
 	cancel()
 	if err := <-stopped; !errors.Is(err, context.Canceled) {
-		t.Errorf("the stop says %v", err)
+		t.Errorf("stop returned %v", err)
 	}
-	if err := <-asked; err == nil {
-		t.Error("a request that lasted beyond the stop's deadline got an answer")
+	if err := <-answered; err == nil {
+		t.Error("a request that lasted beyond the deadline of the stop got a response")
 	}
 }
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -13,20 +13,20 @@
 
 type arguments struct {
 	Entry   *EntrySettings   `arg:"subcommand:entry" help:"serve callers and operators"`
-	Sidecar *SidecarSettings `arg:"subcommand:sidecar" help:"guard one upstream"`
-	Gateway *GatewaySettings `arg:"subcommand:gateway" help:"serve callers over a route table kept in the platform's store"`
+	Sidecar *SidecarSettings `arg:"subcommand:sidecar" help:"admit requests to one upstream"`
+	Gateway *GatewaySettings `arg:"subcommand:gateway" help:"serve callers by a route table in the store of the platform"`
 }
 
-// Description is printed in the help text.
+// Description returns the description in the help text.
 func (arguments) Description() string {
-	return "sparshored serves streamed model answers from crowded engines.\n"
+	return "sparshored routes requests to inference engines under load and streams their answers.\n"
 }
 
-// Version is printed by --version.
+// Version returns what --version prints.
 func (arguments) Version() string { return "sparshored " + version.String() }
 
-// gcPercent trades a little processor time for memory: a process has 64 MB for
-// control, and a sidecar's live heap is mostly buffers of streams.
+// gcPercent lets the garbage collector run more often to save memory: a process has 64 MB for
+// control data, and the live heap of a sidecar consists mostly of stream buffers.
 const gcPercent = 50
 
 // Main runs the daemon and returns its exit code.
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -27,7 +27,7 @@
 	"github.com/sparshore/sparshore/internal/timeline"
 )
 
-// The names under which services find each other.
+// The names under which services look each other up.
 const (
 	serviceNode    kernel.Name = "node"
 	serviceMembers kernel.Name = "membership"
@@ -40,12 +40,12 @@
 
 const (
 	startLimit      = 2 * time.Minute
-	stopSlack       = 5 * time.Second
+	stopMargin      = 5 * time.Second
 	incarnationSize = 6
 )
 
-// node is what all roles have: an identity, the platform's clients, a recorder
-// and metrics. Its context ends when the process stops.
+// node holds what entries and sidecars have in common: an identity, the clients of the platform, a
+// recorder and metrics. Its context ends when the process stops.
 type node struct {
 	settings Common
 	identity membership.Identity
@@ -58,7 +58,7 @@
 	cancel   context.CancelFunc
 }
 
-// now reads the wall clock without the monotonic part: a monotonic clock may
+// now returns the wall clock time without the monotonic reading, because a monotonic clock may
 // stand still while a VM is suspended.
 func now() time.Time { return time.Now().Round(0) }
 
@@ -104,14 +104,13 @@
 	}
 }
 
-// nodeService registers the node; it is the first to start and the last to
-// stop.
+// nodeService registers the node. It starts first and stops last.
 func nodeService(n *node) kernel.Service {
 	return kernel.Service{
 		Name:  serviceNode,
 		Build: func(*kernel.Registry) (any, error) { return n, nil },
 		Start: func(context.Context, *kernel.Registry) error {
-			go watchReload(n.ctx, n.rec, "name="+n.settings.Name+" zone="+n.settings.Zone)
+			go logReloads(n.ctx, n.rec, "name="+n.settings.Name+" zone="+n.settings.Zone)
 			return nil
 		},
 		Stop: func(context.Context, *kernel.Registry) error {
@@ -122,18 +121,18 @@
 	}
 }
 
-// peerService listens for other processes.
+// peerService returns a service that serves methods to other processes.
 func peerService(n *node, methods func(r *kernel.Registry) (peer.Methods, error), onOpen func(r *kernel.Registry) func(*peer.Conn)) kernel.Service {
 	return listenForPeers(n.rec, "--peer-listen", n.settings.PeerListen, methods, onOpen)
 }
 
-// noteFault returns what writes down a fault of this program over a message.
-func noteFault(rec *events.Recorder) func(method string, err error) {
+// recordPanics returns a function that records a panic of a peer method.
+func recordPanics(rec *events.Recorder) func(method string, err error) {
 	return func(method string, err error) { rec.Note(events.HandlerPanicked, "", "method", method, "error", err) }
 }
 
-// listenForPeers serves methods to other processes at an address, which a flag
-// gave.
+// listenForPeers returns a service that serves methods to other processes at an address. Errors
+// name the flag that set the address.
 func listenForPeers(rec *events.Recorder, flag, address string, methods func(r *kernel.Registry) (peer.Methods, error), onOpen func(r *kernel.Registry) func(*peer.Conn)) kernel.Service {
 	return kernel.Service{
 		Name: servicePeers,
@@ -146,7 +145,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", flag, err)
 			}
-			return peer.NewServer(l, m.Guarded(noteFault(rec)), onOpen(r)), nil
+			return peer.NewServer(l, m.Guarded(recordPanics(rec)), onOpen(r)), nil
 		},
 		Start: func(_ context.Context, r *kernel.Registry) error {
 			s, err := kernel.Lookup[*peer.Server](r, servicePeers)
@@ -167,7 +166,7 @@
 	}
 }
 
-// httpService serves a handler.
+// httpService returns a service that serves an HTTP handler.
 func httpService(n *node, handler func(r *kernel.Registry) (http.Handler, error)) kernel.Service {
 	return kernel.Service{
 		Name: serviceHTTP,
@@ -176,7 +175,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &httpServer{server: &http.Server{Handler: h, ReadHeaderTimeout: headerWithin}, connections: unlimited()}, nil
+			return &httpServer{server: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}, connections: newUnlimitedLimiter()}, nil
 		},
 		Start: func(_ context.Context, r *kernel.Registry) error {
 			s, err := kernel.Lookup[*httpServer](r, serviceHTTP)
@@ -187,7 +186,7 @@
 			if err != nil {
 				return fmt.Errorf("--http-listen: %w", err)
 			}
-			s.start(smallBuffers{l})
+			s.start(smallBufferListener{l})
 			n.rec.Note(events.ProcessStarted, "", "http", s.listener.Addr(), "role", n.identity.Role())
 			return nil
 		},
@@ -204,7 +203,7 @@
 	}
 }
 
-// validate refuses a configuration whose policies do not compile.
+// validate returns an error if the policies of a configuration do not compile.
 func validate(c *config.Config) error {
 	_, err := policy.CompileAll(c)
 	return err
@@ -218,9 +217,9 @@
 	return m
 }
 
-// runUntilStop runs f in the background until the process stops.
+// runUntilStop runs f in the background; the context of f ends when the process stops.
 func (n *node) runUntilStop(f func(ctx context.Context)) { go f(n.ctx) }
 
 func stopLimits(c Common) kernel.Limits {
-	return kernel.Limits{Start: startLimit, Stop: c.StopWithin + stopSlack}
+	return kernel.Limits{Start: startLimit, Stop: c.StopWithin + stopMargin}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,10 +9,10 @@
 	"github.com/sparshore/sparshore/internal/events"
 )
 
-// watchReload answers SIGHUP, which would end the process otherwise. Settings
-// are flags and environment variables, so a change of them takes a restart; what
-// changes while a process runs is in the platform's stores.
-func watchReload(ctx context.Context, rec *events.Recorder, settings string) {
+// logReloads handles SIGHUP, which would terminate the process otherwise, by logging the settings.
+// Settings are flags and environment variables, so changing them takes a restart. What may change
+// while a process runs is in the stores of the platform.
+func logReloads(ctx context.Context, rec *events.Recorder, settings string) {
 	sigs := make(chan os.Signal, 1)
 	signal.Notify(sigs, syscall.SIGHUP)
 	defer signal.Stop(sigs)
--- a/internal/daemon/runlag.go
+++ b/internal/daemon/runlag.go
@@ -7,90 +7,92 @@
 )
 
 const (
-	// lagSlack is by how much a look may be late while the process gets to run: a turn of
-	// processors that are shared by some.
-	lagSlack = 10 * time.Millisecond
-	// lagOnTime is the number of looks in time after which the process has noticed what came
-	// before.
-	lagOnTime = 2
-	// lagLooks is the number of looks that are kept: more than fit into the time of a stop.
-	lagLooks = 128
+	// lagTolerance is how late a tick may be in a process that is scheduled normally: one turn on a
+	// processor that is shared by a few processes.
+	lagTolerance = 10 * time.Millisecond
+	// lagOnTimeTicks is the number of punctual ticks after which the process has noticed all
+	// earlier signals.
+	lagOnTimeTicks = 2
+	// lagHistory is the number of ticks that are stored. It covers more than the time of a planned
+	// stop.
+	lagHistory = 128
 )
 
-// runLag tells for how long this process got to run in moments only. A runWatch beside it tells
-// of times in which it did not run at all; a process that runs for a millisecond now and then
-// looks as if it did, and notices a signal late all the same. So it counts how late each look
-// is, and not how long after the one before.
-type runLag struct {
+// lagDetector detects that this process ran only for short moments. A stallDetector detects only
+// times in which the process did not run at all: a process that runs for a millisecond now and then
+// passes that check and still notices a signal late. A lagDetector therefore measures how late each
+// tick is, not the time since the tick before.
+type lagDetector struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// due is when the next look is due, and looks are the latest ones, the newest at last.
-	due   time.Time
-	looks []runLook
+	// nextDue is when the next tick is due. ticks are the latest ticks, the newest last.
+	nextDue time.Time
+	ticks   []lagTick
 }
 
-// runLook is a look at whether the process runs.
-type runLook struct {
+// lagTick is a moment at which the process ran.
+type lagTick struct {
 	at time.Time
-	// late is set if the process did not get to run when it was due.
+	// late is set if the process did not run when the tick was due.
 	late bool
 }
 
-func newRunLag(now func() time.Time) *runLag {
-	return &runLag{now: now, due: now().Add(watchEach), looks: []runLook{{at: now()}}}
+func newLagDetector(now func() time.Time) *lagDetector {
+	return &lagDetector{now: now, nextDue: now().Add(tickInterval), ticks: []lagTick{{at: now()}}}
 }
 
-// watch calls each as often as is due, and looks, until ctx ends.
-func (l *runLag) watch(ctx context.Context, each func()) {
-	t := time.NewTimer(watchEach)
+// run calls onTick and tick each time a tick is due, until ctx ends.
+func (d *lagDetector) run(ctx context.Context, onTick func()) {
+	t := time.NewTimer(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			each()
-			t.Reset(l.look())
+			onTick()
+			t.Reset(d.tick())
 		}
 	}
 }
 
-// look notes that the process runs, and returns the time until the next look is due.
-func (l *runLag) look() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.now()
-	if len(l.looks) == lagLooks {
-		l.looks = append(l.looks[:0], l.looks[1:]...)
+// tick records that the process runs. It returns the time until the next tick is due.
+func (d *lagDetector) tick() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.now()
+	if len(d.ticks) == lagHistory {
+		d.ticks = append(d.ticks[:0], d.ticks[1:]...)
 	}
-	l.looks = append(l.looks, runLook{at: now, late: l.isLate(now)})
-	l.due = l.due.Add(watchEach)
-	if l.due.Before(now) {
-		l.due = now.Add(watchEach)
+	d.ticks = append(d.ticks, lagTick{at: now, late: d.isLate(now)})
+	d.nextDue = d.nextDue.Add(tickInterval)
+	if d.nextDue.Before(now) {
+		d.nextDue = now.Add(tickInterval)
 	}
-	return l.due.Sub(now)
+	return d.nextDue.Sub(now)
 }
 
-// isLate reports whether the next look is late at a time. It needs the lock.
-func (l *runLag) isLate(at time.Time) bool { return at.Sub(l.due) > lagSlack }
+// isLate reports whether the next tick is late at a time. The caller must hold d.mu.
+func (d *lagDetector) isLate(at time.Time) bool { return at.Sub(d.nextDue) > lagTolerance }
 
-// earliest returns the earliest time at which what is noticed now may have come: the look before
-// the first late one after which not enough were in time. One that is nil never looked.
-func (l *runLag) earliest() time.Time {
-	if l == nil {
+// earliestSignal returns the earliest time at which a signal that is noticed now may have been
+// sent: the time of the tick before the first late tick that was not followed by lagOnTimeTicks
+// punctual ones. It returns the current time for a nil lagDetector.
+func (d *lagDetector) earliestSignal() time.Time {
+	if d == nil {
 		return time.Now()
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.now()
-	earliest, late, onTime := now, l.isLate(now), 0
-	for i := len(l.looks) - 1; i >= 0 && onTime < lagOnTime; i-- {
-		look := l.looks[i]
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.now()
+	earliest, late, onTime := now, d.isLate(now), 0
+	for i := len(d.ticks) - 1; i >= 0 && onTime < lagOnTimeTicks; i-- {
+		t := d.ticks[i]
 		if late {
-			earliest = look.at
+			earliest = t.at
 		}
-		late = look.late
+		late = t.late
 		if !late {
 			onTime++
 		}
--- a/internal/daemon/runwatch.go
+++ b/internal/daemon/runwatch.go
@@ -6,50 +6,55 @@
 )
 
 const (
-	// watchEach is the pause between two looks at whether this process gets to run.
-	watchEach = 100 * time.Millisecond
-	// watchSlack is by how much a look may be late: with watchEach it stays below stopSpare,
-	// so that what goes unnoticed is not missing at the end of a stop.
-	watchSlack = 100 * time.Millisecond
-	// noticedWithin is how long after it runs again a process may notice what came before.
-	noticedWithin = 250 * time.Millisecond
+	// tickInterval is the time between two ticks of the detectors.
+	tickInterval = 100 * time.Millisecond
+	// stallTolerance is how late a tick may be. Together with tickInterval it stays below
+	// stopReserve, so that a delay that goes undetected does not exceed the time reserved at the
+	// end of a stop.
+	stallTolerance = 100 * time.Millisecond
+	// stallNoticeTime is how long after a stall the process may notice signals that were sent
+	// during the stall.
+	stallNoticeTime = 250 * time.Millisecond
 )
 
-// runWatch tells for how long this process did not get to run: a busy machine, or a freeze.
-type runWatch struct {
+// stallDetector detects times in which this process did not run, because the machine is busy or the
+// process was frozen.
+type stallDetector struct {
 	now func() time.Time
 
-	mu    sync.Mutex
-	ranAt time.Time
-	// stalledFrom and stalledTo are the latest time in which it did not run.
+	mu       sync.Mutex
+	lastTick time.Time
+	// stalledFrom and stalledTo are the start and the end of the latest stall.
 	stalledFrom, stalledTo time.Time
 }
 
-func newRunWatch(now func() time.Time) *runWatch { return &runWatch{now: now, ranAt: now()} }
+func newStallDetector(now func() time.Time) *stallDetector {
+	return &stallDetector{now: now, lastTick: now()}
+}
 
-// look notes that the process runs; it is to be called each watchEach.
-func (w *runWatch) look() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	if now.Sub(w.ranAt) > watchEach+watchSlack {
-		w.stalledFrom, w.stalledTo = w.ranAt, now
+// tick records that the process runs. It must be called each tickInterval.
+func (d *stallDetector) tick() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.now()
+	if now.Sub(d.lastTick) > tickInterval+stallTolerance {
+		d.stalledFrom, d.stalledTo = d.lastTick, now
 	}
-	w.ranAt = now
+	d.lastTick = now
 }
 
-// earliest returns the earliest time at which what is noticed now may have come. A process
-// that is told to stop while it does not run has the less time for it: one that counted from
-// when it noticed was killed with all requests in flight.
-func (w *runWatch) earliest() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
+// earliestSignal returns the earliest time at which a signal that is noticed now may have been
+// sent. The time to stop runs from the signal: a process that counts it from when it notices the
+// signal after a stall is killed with all requests in flight.
+func (d *stallDetector) earliestSignal() time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.now()
 	switch {
-	case now.Sub(w.ranAt) > watchEach+watchSlack:
-		return w.ranAt
-	case !w.stalledTo.IsZero() && now.Sub(w.stalledTo) < noticedWithin:
-		return w.stalledFrom
+	case now.Sub(d.lastTick) > tickInterval+stallTolerance:
+		return d.lastTick
+	case !d.stalledTo.IsZero() && now.Sub(d.stalledTo) < stallNoticeTime:
+		return d.stalledFrom
 	default:
 		return now
 	}
--- a/internal/daemon/runwatch_test.go
+++ b/internal/daemon/runwatch_test.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-func TestRunWatch(t *testing.T) {
+func TestStallDetector(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// looks are the times of the looks after the start, asked that of the question.
-		looks []time.Duration
+		// ticks are the times of the ticks after the start. asked is when a signal is noticed.
+		ticks []time.Duration
 		asked time.Duration
 		want  time.Duration
 	}{
-		{"it runs", []time.Duration{100 * time.Millisecond, 200 * time.Millisecond}, 250 * time.Millisecond, 250 * time.Millisecond},
-		{"a look is a little late", []time.Duration{190 * time.Millisecond}, 200 * time.Millisecond, 200 * time.Millisecond},
-		{"it did not run, and has not looked yet", []time.Duration{100 * time.Millisecond}, time.Second, 100 * time.Millisecond},
-		{"it did not run, and has looked", []time.Duration{100 * time.Millisecond, time.Second}, 1010 * time.Millisecond, 100 * time.Millisecond},
-		{"that was long ago", []time.Duration{100 * time.Millisecond, time.Second, 1100 * time.Millisecond, 1200 * time.Millisecond, 1300 * time.Millisecond}, 1310 * time.Millisecond, 1310 * time.Millisecond},
+		{"process runs", []time.Duration{100 * time.Millisecond, 200 * time.Millisecond}, 250 * time.Millisecond, 250 * time.Millisecond},
+		{"tick slightly late", []time.Duration{190 * time.Millisecond}, 200 * time.Millisecond, 200 * time.Millisecond},
+		{"process stalls and has not ticked since", []time.Duration{100 * time.Millisecond}, time.Second, 100 * time.Millisecond},
+		{"process stalls and has ticked since", []time.Duration{100 * time.Millisecond, time.Second}, 1010 * time.Millisecond, 100 * time.Millisecond},
+		{"stall was long ago", []time.Duration{100 * time.Millisecond, time.Second, 1100 * time.Millisecond, 1200 * time.Millisecond, 1300 * time.Millisecond}, 1310 * time.Millisecond, 1310 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			start := time.Now()
-			at := start
-			w := newRunWatch(func() time.Time { return at })
-			for _, look := range tc.looks {
-				at = start.Add(look)
-				w.look()
+			now := start
+			d := newStallDetector(func() time.Time { return now })
+			for _, offset := range tc.ticks {
+				now = start.Add(offset)
+				d.tick()
 			}
-			at = start.Add(tc.asked)
-			if got := w.earliest().Sub(start); got != tc.want {
-				t.Errorf("%s, want %s", got, tc.want)
+			now = start.Add(tc.asked)
+			if got := d.earliestSignal().Sub(start); got != tc.want {
+				t.Errorf("earliest signal after %s, want %s", got, tc.want)
 			}
 		})
 	}
 }
 
-// watched returns a watch of this process, for as long as the test lasts.
-func watched(t *testing.T) *runWatch {
+// startStallDetector returns a detector that ticks as long as the test runs.
+func startStallDetector(t *testing.T) *stallDetector {
 	t.Helper()
-	w := newRunWatch(time.Now)
+	d := newStallDetector(time.Now)
 	go func() {
-		each := time.NewTicker(watchEach / 4)
-		defer each.Stop()
+		ticker := time.NewTicker(tickInterval / 4)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-t.Context().Done():
 				return
-			case <-each.C:
-				w.look()
+			case <-ticker.C:
+				d.tick()
 			}
 		}
 	}()
-	return w
+	return d
 }
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -22,7 +22,7 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// RunSidecar runs a sidecar until it is told to stop.
+// RunSidecar runs a sidecar until the process is told to stop.
 func RunSidecar(ctx context.Context, s SidecarSettings, logs io.Writer) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -39,8 +39,7 @@
 	})
 }
 
-// sidecarBuilder holds the parts of a sidecar while the kernel puts them
-// together.
+// sidecarBuilder holds the parts of a sidecar while the kernel builds and starts them.
 type sidecarBuilder struct {
 	node     *node
 	settings SidecarSettings
@@ -57,8 +56,8 @@
 	b.store = rollout.NewStore(n.settings.Name, n.settings.Zone, n.rec)
 	b.store.Validate = validate
 	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, Behind: b.behind}
-	none := func(context.Context) ([]rollout.Target, error) { return nil, nil }
-	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, none, n.rec, rollout.DefaultDeadlines(), now)
+	noTargets := func(context.Context) ([]rollout.Target, error) { return nil, nil }
+	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, noTargets, n.rec, rollout.DefaultDeadlines(), now)
 	b.lease = lease.New(n.table, s.Upstream, n.identity.Incarnation(), lease.Settings{Term: s.LeaseTerm, Skew: s.Skew}, now)
 	b.server = sidecar.New(sidecar.Settings{
 		Upstream: s.Upstream,
@@ -100,11 +99,11 @@
 }
 
 const (
-	configPause  = 500 * time.Millisecond
-	releaseLimit = 2 * time.Second
+	firstConfigRetryInterval = 500 * time.Millisecond
+	releaseTimeout           = 2 * time.Second
 )
 
-// rolloutService reads the head once; later versions come from entries.
+// rolloutService reads the head of the configuration once. Entries send later versions.
 func (b *sidecarBuilder) rolloutService() kernel.Service {
 	return kernel.Service{
 		Name:  serviceRollout,
@@ -116,19 +115,18 @@
 	}
 }
 
-// firstConfig reads the head until the table answers or an entry has brought a
-// configuration.
+// firstConfig reads the head until the table answers or an entry has sent a configuration.
 func (b *sidecarBuilder) firstConfig(ctx context.Context) {
 	for b.coord.Refresh(ctx) != nil && b.store.Active() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(configPause + rand.N(configPause)):
+		case <-time.After(firstConfigRetryInterval + rand.N(firstConfigRetryInterval)):
 		}
 	}
 }
 
-// keepLease renews the lease and notes when it comes and goes.
+// keepLease renews the lease and logs when it is acquired and lost.
 func (b *sidecarBuilder) keepLease(ctx context.Context) {
 	held := false
 	b.lease.Keep(ctx, func(valid bool, err error) {
@@ -158,8 +156,8 @@
 	}
 }
 
-// stop takes no new work at once, tells the entries, and finishes what is in
-// flight before anything it needs goes away.
+// stop immediately stops admitting new work, announces the stop to the entries, and finishes the
+// requests in flight before the services that they depend on stop.
 func (b *sidecarBuilder) stop(ctx context.Context, r *kernel.Registry) error {
 	n := b.node
 	deadline := now().Add(n.settings.StopWithin)
@@ -174,7 +172,7 @@
 		n.rec.Note(events.DrainTooShort, "")
 		return nil
 	}
-	releaseCtx, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseLimit)
+	releaseCtx, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancelRelease()
 	if err := b.lease.Release(releaseCtx); err == nil {
 		n.rec.Note(events.LeaseReleased, "")
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -24,20 +24,20 @@
 	"github.com/sparshore/sparshore/internal/routetable"
 )
 
-// A server that is shutting down drops a request that it has read by then: net/http looks
-// at the shutdown between reading a request and handing it over, and closes the
-// connection. A stop of an entry shut its server down with callers' connections open, so
-// a request on a kept connection could be read and get neither an answer nor a refusal.
-func TestStopAnswersWhatWasRead(t *testing.T) {
-	b := &gatewayBuilder{watch: watched(t), gateway: gatewayWithoutRoutes(), rec: events.Nop(), routes: belief.NewRoutes("", nil, events.Nop(), time.Now),
+// TestStopAnswersRequestReadDuringShutdown guards against a stop that drops a request which the
+// server has already read. net/http checks for a shutdown between reading a request and calling the
+// handler, and closes the connection during one. If a stop shuts the server down while connections
+// of callers are open, a request on a reused connection gets neither a response nor a refusal.
+func TestStopAnswersRequestReadDuringShutdown(t *testing.T) {
+	b := &gatewayBuilder{stalls: startStallDetector(t), gateway: newGatewayWithoutRoutes(), rec: events.Nop(), routes: belief.NewRoutes("", nil, events.Nop(), time.Now),
 		settings: GatewaySettings{Listen: "127.0.0.1:0", StopWithin: 3 * time.Second}}
 	service := b.callerService()
 	shutDown, read, address := make(chan struct{}), make(chan struct{}), make(chan net.Addr, 1)
 	b.callers.server.RegisterOnShutdown(func() { close(shutDown) })
 	requests := atomic.Int32{}
 	b.callers.server.BaseContext = func(l net.Listener) context.Context {
-		// The second request is held between its reading and its handler while the
-		// entry stops.
+		// The second request is blocked between being read and reaching its handler while the
+		// gateway stops.
 		hook := b.callers.server.ConnState
 		b.callers.server.ConnState = func(c net.Conn, state http.ConnState) {
 			hook(c, state)
@@ -61,28 +61,29 @@
 	}
 	defer func() { _ = c.Close() }()
 	answers := bufio.NewReader(c)
-	refused(t, c, answers)
+	expectRefusal(t, c, answers)
 	stopped := make(chan error, 1)
 	go func() {
 		<-read
 		stopped <- b.drain(t.Context(), nil)
 	}()
-	refused(t, c, answers)
+	expectRefusal(t, c, answers)
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
 }
 
-// An entry did not get to run while its planned stop came to its end: the time at which
-// what is in flight gets its answer and the time at which connections are closed were both
-// past, and 15 of 20 callers got an end of file. Here both are past from the beginning.
-func TestStopThatIsLateAnswersWhatItGivesUp(t *testing.T) {
+// TestLateStopAnswersRequestsGivenUp guards against a gateway that closes connections before the
+// requests that it gives up are answered. If the gateway is not scheduled near the end of its stop,
+// both the time for these answers and the time to close connections have passed, and callers get an
+// end of file. Here both have passed from the start.
+func TestLateStopAnswersRequestsGivenUp(t *testing.T) {
 	for range 10 {
-		begun, over := make(chan struct{}), make(chan struct{})
-		b := &gatewayBuilder{watch: watched(t), rec: events.Nop(), routes: belief.NewRoutes("", nil, events.Nop(), time.Now), settings: GatewaySettings{Listen: "127.0.0.1:0", StopWithin: stopSpare}}
-		b.gateway = gatewayWithUpstream(t, func(http.ResponseWriter, *http.Request) {
-			close(begun)
-			<-over
+		started, release := make(chan struct{}), make(chan struct{})
+		b := &gatewayBuilder{stalls: startStallDetector(t), rec: events.Nop(), routes: belief.NewRoutes("", nil, events.Nop(), time.Now), settings: GatewaySettings{Listen: "127.0.0.1:0", StopWithin: stopReserve}}
+		b.gateway = newGatewayWithUpstream(t, func(http.ResponseWriter, *http.Request) {
+			close(started)
+			<-release
 		})
 		service, address := b.callerService(), make(chan net.Addr, 1)
 		b.callers.server.BaseContext = func(l net.Listener) context.Context {
@@ -100,19 +101,19 @@
 			}
 			answers <- err
 		}()
-		<-begun
+		<-started
 		if err := b.drain(t.Context(), nil); err != nil {
 			t.Error(err)
 		}
 		if err := <-answers; err != nil {
-			t.Errorf("a request in flight got %v", err)
+			t.Errorf("a request in flight failed: %v", err)
 		}
-		close(over)
+		close(release)
 	}
 }
 
-// gatewayWithUpstream sends every request to one upstream.
-func gatewayWithUpstream(t *testing.T, serve http.HandlerFunc) *gateway.Gateway {
+// newGatewayWithUpstream returns a gateway that sends every request to one upstream.
+func newGatewayWithUpstream(t *testing.T, serve http.HandlerFunc) *gateway.Gateway {
 	t.Helper()
 	s := httptest.NewServer(serve)
 	t.Cleanup(s.Close)
@@ -144,15 +145,15 @@
 	return gateway.New(gateway.Settings{RoutesTrusted: time.Minute, RetryWindow: time.Second}, routes, set, link.New(link.Settings{DialWithin: time.Second}, dial, time.Now), proto, others, events.Nop(), prometheus.NewRegistry(), time.Now)
 }
 
-// refused sends a request to a gateway without routes, which refuses it.
-func refused(t *testing.T, c net.Conn, answers *bufio.Reader) {
+// expectRefusal sends a request to a gateway without routes, which refuses it.
+func expectRefusal(t *testing.T, c net.Conn, answers *bufio.Reader) {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(answers, nil)
 	if err != nil {
-		t.Errorf("a request was read, and its caller got %v", err)
+		t.Errorf("a request was read, but its caller got %v", err)
 		return
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
--- a/internal/daemon/upstreamrows.go
+++ b/internal/daemon/upstreamrows.go
@@ -8,45 +8,46 @@
 	product "github.com/sparshore/sparshore/internal/platform"
 )
 
-// upstreamRows hands the rows of upstreams to the fleet.
+// upstreamRows applies rows of the upstreams table to the fleet.
 type upstreamRows struct {
 	decode func(name string, value []byte) (fleet.Record, error)
 	fleet  *fleet.Set
 	bad    *badRows
 }
 
-// newUpstreamRows returns an upstreamRows for a fleet that tells bad of rows which decode
-// refuses.
+// newUpstreamRows returns an upstreamRows for a fleet. Rows that decode rejects are recorded in
+// bad.
 func newUpstreamRows(decode func(name string, value []byte) (fleet.Record, error), set *fleet.Set, bad *badRows) *upstreamRows {
 	return &upstreamRows{decode: decode, fleet: set, bad: bad}
 }
 
-// apply takes over an answer; full marks one that holds the whole table, and settled is
-// the time from which rows that are missing are taken as gone. A row that cannot be used
-// is there all the same: its upstream gets no new work, and what runs there goes on.
+// apply applies the rows of an answer of the store. full marks an answer that holds the whole
+// table. settled is the time from which missing rows count as gone. The upstream of a row that
+// cannot be used stays in the fleet: it gets no new work, and its running requests continue.
 func (u *upstreamRows) apply(rows []product.Record, full bool, settled time.Time) {
 	records, unreadable, gone := u.changes(rows, full)
 	u.fleet.UpdateAll(records, unreadable, gone, full, settled)
 }
 
-// restore is apply for the first whole table after the store was restored from a copy.
+// restore is apply for the first complete read of the table after the store was restored from an
+// older copy.
 func (u *upstreamRows) restore(rows []product.Record, settled time.Time) {
 	records, unreadable, _ := u.changes(rows, true)
 	u.fleet.Restore(records, unreadable, settled)
 }
 
-// changes decodes changed rows. One answer may hold several changes of a row, in order;
-// the last one counts.
+// changes decodes changed rows. An answer may hold several changes of the same row, in order. Only
+// the last one is used.
 func (u *upstreamRows) changes(rows []product.Record, full bool) (records []fleet.Record, unreadable []string, gone []fleet.Gone) {
-	last := make(map[string]int, len(rows))
+	lastIndex := make(map[string]int, len(rows))
 	for i, row := range rows {
-		last[row.Name] = i
+		lastIndex[row.Name] = i
 	}
 	if full {
-		u.bad.keep(last)
+		u.bad.retainListed(lastIndex)
 	}
 	for i, row := range rows {
-		if last[row.Name] != i {
+		if lastIndex[row.Name] != i {
 			continue
 		}
 		if row.Gone {
--- a/internal/daemon/upstreamrows_test.go
+++ b/internal/daemon/upstreamrows_test.go
@@ -16,11 +16,11 @@
 	product "github.com/sparshore/sparshore/internal/platform"
 )
 
-// errBad is why the decoder of these tests refuses a row.
+// errBad is the error of the decoders of these tests.
 var errBad = errors.New("bad row")
 
-// decodeWord decodes rows that hold the name of a service and an address.
-func decodeWord(name string, value []byte) (fleet.Record, error) {
+// decodeServiceAddress decodes rows that hold the name of a service and an address.
+func decodeServiceAddress(name string, value []byte) (fleet.Record, error) {
 	service, address, ok := strings.Cut(string(value), " ")
 	if !ok {
 		return fleet.Record{}, errBad
@@ -28,32 +28,32 @@
 	return fleet.Record{Name: name, Service: service, Address: address, Leaving: address == "draining"}, nil
 }
 
-func good(name string) product.Record {
+func validRow(name string) product.Record {
 	return product.Record{Name: name, Value: []byte("llm 10.0.0.1:1")}
 }
 
-func bad(name string) product.Record { return product.Record{Name: name, Value: []byte("{")} }
+func invalidRow(name string) product.Record { return product.Record{Name: name, Value: []byte("{")} }
 
-func gone(name string) product.Record { return product.Record{Name: name, Gone: true} }
+func goneRow(name string) product.Record { return product.Record{Name: name, Gone: true} }
 
-// rowsFixture is an upstreamRows with a fleet that tells who left.
+// rowsFixture is an upstreamRows with a fleet that records which upstreams left.
 type rowsFixture struct {
 	*upstreamRows
 	set  *fleet.Set
 	rec  *events.Recorder
-	at   time.Time
+	now  time.Time
 	left []string
 }
 
 func newRowsFixture() *rowsFixture {
-	f := &rowsFixture{rec: events.New(logr.Discard(), "p", "i", 1000, time.Now), at: time.Now()}
+	f := &rowsFixture{rec: events.New(logr.Discard(), "p", "i", 1000, time.Now), now: time.Now()}
 	f.set = fleet.New(f.rec, time.Now, func(id string) { f.left = append(f.left, id) })
-	f.upstreamRows = newUpstreamRows(decodeWord, f.set, newBadRows(events.UpstreamRejected, error.Error, prometheus.NewRegistry(), f.rec, func() time.Time { return f.at }))
+	f.upstreamRows = newUpstreamRows(decodeServiceAddress, f.set, newBadRows(events.UpstreamRejected, error.Error, prometheus.NewRegistry(), f.rec, func() time.Time { return f.now }))
 	return f
 }
 
-// used are the upstreams that get new work.
-func (f *rowsFixture) used() []string {
+// usableUpstreams returns the upstreams that get new work.
+func (f *rowsFixture) usableUpstreams() []string {
 	var out []string
 	for _, u := range f.set.Of("llm") {
 		out = append(out, u.ID)
@@ -70,21 +70,21 @@
 		bad     []string
 		gone    []string
 	}{
-		{"rows come and go", []product.Record{good("a"), gone("b")}, []string{"a"}, nil, []string{"b"}},
-		{"a row that went and came back in one answer is there", []product.Record{gone("a"), good("a")}, []string{"a"}, nil, nil},
-		{"a row that came and went in one answer is gone", []product.Record{good("a"), gone("a")}, nil, nil, []string{"a"}},
-		{"a row that cannot be used is there, and changes no other one", []product.Record{bad("a"), good("b")}, []string{"b"}, []string{"a"}, nil},
-		{"a row that turned bad and went is gone", []product.Record{bad("a"), gone("a")}, nil, nil, []string{"a"}},
+		{"row added and row removed", []product.Record{validRow("a"), goneRow("b")}, []string{"a"}, nil, []string{"b"}},
+		{"row removed and added in one answer is present", []product.Record{goneRow("a"), validRow("a")}, []string{"a"}, nil, nil},
+		{"row added and removed in one answer is gone", []product.Record{validRow("a"), goneRow("a")}, nil, nil, []string{"a"}},
+		{"invalid row is present and does not affect others", []product.Record{invalidRow("a"), validRow("b")}, []string{"b"}, []string{"a"}, nil},
+		{"row that became invalid and was removed is gone", []product.Record{invalidRow("a"), goneRow("a")}, nil, nil, []string{"a"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			records, unreadable, left := newRowsFixture().changes(tc.rows, false)
+			records, unreadable, goneRecords := newRowsFixture().changes(tc.rows, false)
 			var present []string
 			for _, r := range records {
 				present = append(present, r.Name)
 			}
-			var wentAway []string
-			for _, g := range left {
-				wentAway = append(wentAway, g.Name)
+			var removed []string
+			for _, g := range goneRecords {
+				removed = append(removed, g.Name)
 			}
 			slices.Sort(present)
 			if !slices.Equal(present, tc.present) {
@@ -93,16 +93,16 @@
 			if !slices.Equal(unreadable, tc.bad) {
 				t.Errorf("unreadable %v, want %v", unreadable, tc.bad)
 			}
-			if !slices.Equal(wentAway, tc.gone) {
-				t.Errorf("gone %v, want %v", wentAway, tc.gone)
+			if !slices.Equal(removed, tc.gone) {
+				t.Errorf("gone %v, want %v", removed, tc.gone)
 			}
 		})
 	}
 }
 
-// TestBadRowsAmongGoodOnes: a row that cannot be used takes nothing from the others, and
-// its upstream gets no new work, while what runs there goes on.
-func TestBadRowsAmongGoodOnes(t *testing.T) {
+// TestBadRowDoesNotAffectOtherRows checks that a row that cannot be used does not affect the
+// others, and that its upstream gets no new work while its running requests continue.
+func TestBadRowDoesNotAffectOtherRows(t *testing.T) {
 	type answer struct {
 		full bool
 		rows []product.Record
@@ -110,29 +110,29 @@
 	for _, tc := range []struct {
 		name    string
 		answers []answer
-		used    []string
+		usable  []string
 		left    []string
 	}{
-		{"only bad rows", []answer{{true, []product.Record{bad("a"), bad("b")}}}, nil, nil},
-		{"a good row after a bad one", []answer{{true, []product.Record{bad("a"), good("b")}}}, []string{"b"}, nil},
-		{"a bad row after a good one", []answer{{true, []product.Record{good("b"), bad("a")}}}, []string{"b"}, nil},
-		{"a change that turns bad", []answer{{true, []product.Record{good("a"), good("b")}}, {false, []product.Record{bad("a")}}}, []string{"b"}, nil},
-		{"a table in which one turned bad", []answer{{true, []product.Record{good("a"), good("b")}}, {true, []product.Record{bad("a"), good("b")}}}, []string{"b"}, nil},
-		{"a table in which all turned bad", []answer{{true, []product.Record{good("a"), good("b")}}, {true, []product.Record{bad("a"), bad("b")}}}, nil, nil},
-		{"good again", []answer{{true, []product.Record{good("a")}}, {false, []product.Record{bad("a")}}, {false, []product.Record{good("a")}}}, []string{"a"}, nil},
-		{"bad and good again in one answer", []answer{{true, []product.Record{good("a")}}, {false, []product.Record{bad("a"), good("a")}}}, []string{"a"}, nil},
-		{"good and bad again in one answer", []answer{{true, []product.Record{good("a")}}, {false, []product.Record{good("a"), bad("a")}}}, nil, nil},
-		{"bad, then gone", []answer{{true, []product.Record{good("a")}}, {false, []product.Record{bad("a")}}, {false, []product.Record{gone("a")}}}, nil, []string{"a"}},
-		{"bad, then missing in the table", []answer{{true, []product.Record{good("a")}}, {false, []product.Record{bad("a")}}, {true, nil}}, nil, []string{"a"}},
-		{"two rows with one address", []answer{{true, []product.Record{good("a"), good("b")}}}, []string{"a", "b"}, nil},
+		{"only invalid rows", []answer{{true, []product.Record{invalidRow("a"), invalidRow("b")}}}, nil, nil},
+		{"valid row after an invalid row", []answer{{true, []product.Record{invalidRow("a"), validRow("b")}}}, []string{"b"}, nil},
+		{"invalid row after a valid row", []answer{{true, []product.Record{validRow("b"), invalidRow("a")}}}, []string{"b"}, nil},
+		{"change makes a row invalid", []answer{{true, []product.Record{validRow("a"), validRow("b")}}, {false, []product.Record{invalidRow("a")}}}, []string{"b"}, nil},
+		{"one row invalid in a complete read", []answer{{true, []product.Record{validRow("a"), validRow("b")}}, {true, []product.Record{invalidRow("a"), validRow("b")}}}, []string{"b"}, nil},
+		{"all rows invalid in a complete read", []answer{{true, []product.Record{validRow("a"), validRow("b")}}, {true, []product.Record{invalidRow("a"), invalidRow("b")}}}, nil, nil},
+		{"row becomes valid again", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a")}}, {false, []product.Record{validRow("a")}}}, []string{"a"}, nil},
+		{"invalid and valid again in one answer", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a"), validRow("a")}}}, []string{"a"}, nil},
+		{"valid and invalid again in one answer", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{validRow("a"), invalidRow("a")}}}, nil, nil},
+		{"invalid row is removed", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a")}}, {false, []product.Record{goneRow("a")}}}, nil, []string{"a"}},
+		{"invalid row is missing in a complete read", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a")}}, {true, nil}}, nil, []string{"a"}},
+		{"two rows with the same address", []answer{{true, []product.Record{validRow("a"), validRow("b")}}}, []string{"a", "b"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newRowsFixture()
 			for _, a := range tc.answers {
 				f.apply(a.rows, a.full, time.Time{})
 			}
-			if got := f.used(); !slices.Equal(got, tc.used) {
-				t.Errorf("new work goes to %v, want %v", got, tc.used)
+			if got := f.usableUpstreams(); !slices.Equal(got, tc.usable) {
+				t.Errorf("new work goes to %v, want %v", got, tc.usable)
 			}
 			if !slices.Equal(f.left, tc.left) {
 				t.Errorf("streams are moved from %v, want %v", f.left, tc.left)
@@ -141,62 +141,64 @@
 	}
 }
 
-// decodeStart decodes rows that hold the time of birth of an upstream.
-func decodeStart(name string, value []byte) (fleet.Record, error) {
+// decodeBorn decodes rows that hold the start time of an upstream.
+func decodeBorn(name string, value []byte) (fleet.Record, error) {
 	born, err := strconv.ParseInt(string(value), 10, 64)
 	return fleet.Record{Name: name, Born: born, Service: "llm", Address: "10.0.0.1:1"}, err
 }
 
-func startRow(name, born string) product.Record {
+func bornRow(name, born string) product.Record {
 	return product.Record{Name: name, Version: 7, Value: []byte(born)}
 }
 
-// TestStartsInAnAnswer covers rows that tell when their upstreams were born.
-func TestStartsInAnAnswer(t *testing.T) {
+// TestIncarnationsInOneAnswer covers rows with the start times of upstreams, including two
+// incarnations of an upstream in one answer.
+func TestIncarnationsInOneAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		rows    []product.Record
 		present []string
 		gone    []string
 	}{
-		{"a row whose birth cannot be used changes no other one", []product.Record{startRow("a", "1.5"), startRow("b", "7")}, []string{"b"}, nil},
-		{"of two starts in one answer the last one counts", []product.Record{startRow("a", "7"), gone("a"), startRow("a", "8")}, []string{"a"}, nil},
-		{"two rows with one address are both there", []product.Record{startRow("a", "7"), startRow("b", "7")}, []string{"a", "b"}, nil},
+		{"row with an invalid start time does not affect others", []product.Record{bornRow("a", "1.5"), bornRow("b", "7")}, []string{"b"}, nil},
+		{"last of two incarnations in one answer is used", []product.Record{bornRow("a", "7"), goneRow("a"), bornRow("a", "8")}, []string{"a"}, nil},
+		{"two rows with the same address are both present", []product.Record{bornRow("a", "7"), bornRow("b", "7")}, []string{"a", "b"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newRowsFixture()
-			f.decode = decodeStart
-			records, _, left := f.changes(tc.rows, false)
-			var present, wentAway []string
+			f.decode = decodeBorn
+			records, _, goneRecords := f.changes(tc.rows, false)
+			var present, removed []string
 			for _, r := range records {
 				present = append(present, r.Name)
 			}
-			for _, g := range left {
-				wentAway = append(wentAway, g.Name)
+			for _, g := range goneRecords {
+				removed = append(removed, g.Name)
 			}
-			if !slices.Equal(present, tc.present) || !slices.Equal(wentAway, tc.gone) {
-				t.Errorf("present %v, gone %v, want %v and %v", present, wentAway, tc.present, tc.gone)
+			if !slices.Equal(present, tc.present) || !slices.Equal(removed, tc.gone) {
+				t.Errorf("present %v, gone %v, want %v and %v", present, removed, tc.present, tc.gone)
 			}
 		})
 	}
 }
 
-// The versions tell which start of an upstream is the later one: they must not get lost
-// on the way.
+// TestUpstreamChangesKeepVersions checks that versions are passed to the fleet, which uses them to
+// tell which incarnation of an upstream is the later one.
 func TestUpstreamChangesKeepVersions(t *testing.T) {
 	f := newRowsFixture()
-	f.decode = decodeStart
-	records, _, left := f.changes([]product.Record{startRow("a", "5"), {Name: "b", Version: 8, Gone: true}}, false)
+	f.decode = decodeBorn
+	records, _, goneRecords := f.changes([]product.Record{bornRow("a", "5"), {Name: "b", Version: 8, Gone: true}}, false)
 	if len(records) != 1 || records[0].Version != 7 || records[0].Born != 5 {
-		t.Errorf("records %+v, want version 7 and birth 5", records)
+		t.Errorf("records %+v, want version 7 and Born 5", records)
 	}
-	if len(left) != 1 || left[0].Version != 8 {
-		t.Errorf("gone %+v, want version 8", left)
+	if len(goneRecords) != 1 || goneRecords[0].Version != 8 {
+		t.Errorf("gone %+v, want version 8", goneRecords)
 	}
 }
 
-// A row that this program fails over ended each entry that read it.
-func TestRowThatEndsNoReader(t *testing.T) {
+// TestPanicWhileDecodingRowIsContained guards against a row whose decoding panics: without
+// recovery, it crashes every entry that reads the row.
+func TestPanicWhileDecodingRowIsContained(t *testing.T) {
 	f := newRowsFixture()
 	f.decode = func(name string, _ []byte) (fleet.Record, error) {
 		if name == "oops" {
@@ -205,7 +207,7 @@
 		return fleet.Record{Name: name, Service: "app"}, nil
 	}
 	f.apply([]product.Record{{Name: "oops", Version: 1}, {Name: "good", Version: 2}}, true, time.Time{})
-	if n := len(f.set.Of("app")); n != 1 || f.linesOf() != 1 {
-		t.Errorf("%d upstreams and %d lines, want the good one and a line about the other", n, f.linesOf())
+	if n := len(f.set.Of("app")); n != 1 || f.rejectionLines() != 1 {
+		t.Errorf("%d upstreams and %d lines, want the valid upstream and one line about the other", n, f.rejectionLines())
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -53,10 +53,10 @@
 mutant connection-late-close $connlimit/connlimit.go 's/\t\tc\.enter\(phaseIdle\)\n/\t\tc.enter(phaseIdle)\n\t\tif d := l.limits().Idle; d > 0 {\n\t\t\ttime.AfterFunc(d, func() { l.onEnd(c, reasonIdleTimeout); _ = c.Close() })\n\t\t}\n/' $connlimit TestLimitDoesNotCloseConnection
 mutant connection-raised $connlimit/conn.go 's/if c\.extendDeadline\(\) \{/if false \&\& c.extendDeadline() {/' $connlimit TestRaisedLimit
 mutant connection-stop-idle $connlimit/conn.go 's/\tstopDeadline := c\.phaseSince\n/\tstopDeadline := c.phaseSince.Add(time.Hour)\n/' $connlimit TestDrain
-mutant connection-stop-shutdown internal/daemon/gatewayhttp.go 's/b\.callers\.connections\.Drain\(served\)/b.callers.server.Shutdown(served)/' internal/daemon TestStopAnswersWhatWasRead
+mutant connection-stop-shutdown internal/daemon/gatewayhttp.go 's/b\.callers\.connections\.Drain\(drainCtx\)/b.callers.server.Shutdown(drainCtx)/' internal/daemon TestStopAnswersRequestRead
 mutant connection-last-answer $connlimit/answerwriter.go 's/if w\.limiter\.isDraining\(\) \{/if false {/' $connlimit TestDrain
 mutant connection-accepting $connlimit/connlimit.go 's/\t\t\t<-listener\.done\n/\t\t\t_ = listener.done\n/' $connlimit TestDrainWaits
-mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestStopThatIsLate
+mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestLateStop
 mutant gateway-at-the-end $gateway/call.go 's/return c\.atTheEnd\(ctx, best\), true/_ = c.atTheEnd\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerThatIsThere|TestUpstreamsFailureGoes'
 mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestPanicIsAnswered
 mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsComeBack
@@ -116,12 +116,12 @@
 mutant rows-no-value platform/store.go 's/\t\tp\.Value, p\.Gone = nil, false\n/\t\tp.Gone = false\n/' platform TestBadRowInAnAnswer
 mutant rows-advance platform/store.go 's/if next <= from \{/if next < from {/' platform TestPagesThatDoNotAdvance
 mutant rows-last-name platform/store.go 's/if r\.Key != "" \{/if r.Ver >= 0 {/' platform TestPageWhoseLastRow
-mutant bad-rows-there internal/daemon/upstreamrows.go 's/\t\t\tunreadable = append\(unreadable, row\.Name\)\n//' internal/daemon TestBadRowsAmong
-mutant bad-rows-once internal/daemon/badrows.go 's/if known && old\.version == row\.Version \{/if known \&\& old.version < 0 {/' internal/daemon TestBadRowsAreTold
-mutant bad-rows-versions internal/daemon/badrows.go 's/if known && old\.version == row\.Version \{/if known \&\& old.version >= 0 {/' internal/daemon TestBadRowsAreTold
-mutant bad-rows-kept internal/daemon/upstreamrows.go 's/if full \{/if false {/' internal/daemon TestBadRowsAreTold
-mutant bad-rows-good-again internal/daemon/upstreamrows.go 's/\t\tu\.bad\.remove\(row\.Name\)\n\t\tr\.Version/\t\tr.Version/' internal/daemon TestBadRowsAreTold
-mutant bad-rows-lines internal/daemon/badrows.go 's/if b\.lines >= badLines \{/if false {/' internal/daemon TestManyBadRows
+mutant bad-rows-there internal/daemon/upstreamrows.go 's/\t\t\tunreadable = append\(unreadable, row\.Name\)\n//' internal/daemon TestBadRowDoesNotAffect
+mutant bad-rows-once internal/daemon/badrows.go 's/if known && old\.version == row\.Version \{/if known \&\& old.version < 0 {/' internal/daemon TestBadRowsAreReported
+mutant bad-rows-versions internal/daemon/badrows.go 's/if known && old\.version == row\.Version \{/if known \&\& old.version >= 0 {/' internal/daemon TestBadRowsAreReported
+mutant bad-rows-kept internal/daemon/upstreamrows.go 's/if full \{/if false {/' internal/daemon TestBadRowsAreReported
+mutant bad-rows-good-again internal/daemon/upstreamrows.go 's/\t\tu\.bad\.remove\(row\.Name\)\n\t\tr\.Version/\t\tr.Version/' internal/daemon TestBadRowsAreReported
+mutant bad-rows-lines internal/daemon/badrows.go 's/if b\.logged >= badRowLogLimit \{/if false {/' internal/daemon TestBadRowLogLines
 mutant routes-once internal/belief/routes.go 's/if !r\.refused \|\| r\.refusedRow != rec\.Version \{/if true {/' internal/belief TestTableThatCannot
 mutant routes-each-version internal/belief/routes.go 's/ \|\| r\.refusedRow != rec\.Version \{/ {/' internal/belief TestTableThatCannot
 mutant routes-unusable-unconfirmed internal/belief/routes.go 's/ && !r\.refused && at/ \&\& at/' internal/belief TestUnusableTableConfirmsNothing
@@ -216,21 +216,21 @@
 mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(start\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 
-mutant stop-noticed-late internal/daemon/gatewayhttp.go 's/told, earliest = b\.watch\.earliest\(\), /told, earliest = time.Now(), /' internal/daemon TestToldToStop
-mutant stop-in-pieces internal/daemon/runlag.go 's/look\.late$/false/m; s/late = look\.late/late = false/' internal/daemon TestRunLag
-mutant stop-lag-asked internal/daemon/gatewayhttp.go 's/, b\.lag\.earliest\(\)$/, time.Now()/m' internal/daemon TestToldToStop
+mutant stop-noticed-late internal/daemon/gatewayhttp.go 's/signalled, earliest = b\.stalls\.earliestSignal\(\), /signalled, earliest = time.Now(), /' internal/daemon TestStopSignalTimes
+mutant stop-in-pieces internal/daemon/runlag.go 's/t\.late$/false/m; s/late = t\.late/late = false/' internal/daemon TestLagDetector
+mutant stop-lag-asked internal/daemon/gatewayhttp.go 's/, b\.lags\.earliestSignal\(\)$/, time.Now()/m' internal/daemon TestStopSignalTimes
 mutant stop-gives-up-late internal/gateway/stop.go 's/time\.AfterFunc\(end\.Add/time.AfterFunc(last.Add/' internal/gateway TestDrainUntilKeepsRequestsInFlight
 mutant stop-takes-by-last internal/gateway/stop.go 's/g\.stopBy\.Set\(last\)/g.stopBy.Set(end)/' internal/gateway TestDrainUntilKeepsRequestsInFlight
 mutant stop-waits-entry internal/daemon/entry.go 's/if !b\.entry\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/entry_stop'
 mutant stop-waits-sidecar internal/daemon/sidecar.go 's/if !b\.server\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/leaving'
-mutant stop-waits-gateway internal/daemon/gatewayhttp.go 's/if err := b\.callers\.connections\.Drain\(served\); err != nil \{/if err := served.Err(); err != nil {/' internal/daemon TestStopAnswersWhatWasRead
-mutant stop-stall-looked internal/daemon/runwatch.go 's/w\.stalledFrom, w\.stalledTo = w\.ranAt, now/w.stalledFrom = w.ranAt/' internal/daemon TestRunWatch
+mutant stop-waits-gateway internal/daemon/gatewayhttp.go 's/if err := b\.callers\.connections\.Drain\(drainCtx\); err != nil \{/if err := drainCtx.Err(); err != nil {/' internal/daemon TestStopAnswersRequestRead
+mutant stop-stall-looked internal/daemon/runwatch.go 's/d\.stalledFrom, d\.stalledTo = d\.lastTick, now/d.stalledFrom = d.lastTick/' internal/daemon TestStallDetector
 
 # Faults of this program over what was read.
 mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestTableThatEndsNoReader
 mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
 mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.read\(b, addr\) \}\); err/if err := n.read(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestMessageThatEndsNoReader
-mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestRowThatEndsNoReader
+mutant fault-row internal/daemon/upstreamrows.go 's/err := guard\.Do\(func\(\) \(err error\) \{\n\t*r, err = u\.decode\(row\.Name, row\.Value\)\n\t*return err\n\t*\}\)/r, err := u.decode(row.Name, row.Value)/; s/\t\tvar r fleet\.Record\n//; s/.*internal\/guard"\n//' internal/daemon TestPanicWhileDecodingRow
 mutant fault-generation internal/sidecar/server.go 's/err := guard\.Do\(func\(\) error \{\n\t\ts\.runner\.stream\(ctx, g, p\)\n\t\treturn nil\n\t\}\)/err := ctx.Err()\n\ts.runner.stream(ctx, g, p)/; s/.*internal\/guard"\n//' internal/sidecar TestGenerationThatEndsNoSidecar
 
 mutant first-reads internal/directory/directory.go 's/firstMost  = 2 \* time\.Second/firstMost  = time.Hour/; s/firstLeast = 100 \* time\.Millisecond/firstLeast = time.Hour/' internal/directory TestFirstReadsThatFail
