--- a/internal/protocol/leaving.go
+++ b/internal/protocol/leaving.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ParseLeaving reads the value of the header by which an upstream says that it leaves: 1 or true, in
-// any case of letters. Anything else says nothing of that.
+// ParseLeaving parses the header with which an upstream announces that it is leaving. It accepts every
+// spelling of true that strconv.ParseBool accepts, such as 1 and true; any other value means not leaving.
 func ParseLeaving(text string) bool {
 	leaving, err := strconv.ParseBool(strings.TrimSpace(text))
 	return err == nil && leaving
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,7 +1,6 @@
-// Package protocol is the seam between the gateway's decisions and the way
-// requests, answers and engine orders are spelled on the wire. Its types hold
-// what the gateway needs to know, in the product's words; a deployment fills the
-// function fields.
+// Package protocol defines the interface between the gateway and the wire format of requests, answers and
+// engine commands. Its types hold the decoded values that the gateway works with. A deployment implements
+// the wire format in the function fields of Protocol.
 package protocol
 
 import (
@@ -13,7 +12,7 @@
 
 // Call is a caller's request.
 type Call struct {
-	// ID identifies this attempt of the caller.
+	// ID identifies this request as the caller sent it; the same request sent again has another ID.
 	ID string
 	// Key is the API key, empty if there is none.
 	Key    string
@@ -21,166 +20,165 @@
 	// Target is the request target as the caller sent it.
 	Target string
 	Host   string
-	// Header holds what is passed on to upstreams.
+	// Header holds the headers that are forwarded to upstreams.
 	Header http.Header
-	// Deadline is the steady time until which the caller waits; zero if it did
-	// not say.
+	// Deadline is the steady time until which the caller waits; zero if the caller set none.
 	Deadline time.Time
 	// Prompt and MaxOutput are the sizes in tokens that the caller stated.
 	Prompt    int
 	MaxOutput int
-	// Shared are the leading parts of the prompt that other requests may share, in order.
+	// Shared lists the leading parts of the prompt that other requests may share, in order.
 	Shared []PromptPart
-	// Hint is the caller's guess of the output in tokens, 0 if there is none.
+	// Hint is the expected output in tokens as the caller estimates it, 0 if there is no estimate.
 	Hint int
-	// LastEvent is set when the caller goes on with a stream.
+	// LastEvent identifies the last event that the caller received; it is set when the caller resumes a stream.
 	LastEvent string
 }
 
 // PromptPart is a part of a prompt.
 type PromptPart struct {
-	// ID is the same for the same text after the same parts.
+	// ID is equal for equal text that follows the same earlier parts.
 	ID string
-	// Tokens is its size.
+	// Tokens is the size of the part.
 	Tokens int
 }
 
-// Copy names the copy of a generation's memory.
+// Copy identifies a copy of a generation's memory.
 type Copy struct {
-	// Source is the IP:port of the engine the copy was made from.
+	// Source is the IP:port of the engine from which the copy was made.
 	Source string
-	// Handle names the copy at its source.
+	// Handle identifies the copy at its source.
 	Handle string
 }
 
-// Attempt is what an upstream is told besides the caller's request.
+// Attempt holds the values that an upstream receives in addition to the caller's request.
 type Attempt struct {
-	// Upstream is the name of the one that is meant; any other must not run the request.
-	// A later start under that name may run what was meant for an earlier one, which
-	// then never got it.
+	// Upstream is the name of the intended upstream; an upstream with another name must not run the request.
+	// A later incarnation may run a request that was meant for an earlier one, because the earlier one then
+	// never received it.
 	Upstream string
 	// Account is the name of the client account, empty on public routes.
 	Account string
-	// Deadline is the steady time at which the upstream is to give up.
+	// Deadline is the steady time at which the upstream must abandon the request.
 	Deadline time.Time
-	// From is the copy from which the generation goes on, nil for a new one.
+	// From is the copy from which the generation continues, nil for a new generation.
 	From *Copy
-	// LastEvent is the last event that the caller has.
+	// LastEvent is the last event that the caller received.
 	LastEvent string
 }
 
-// Verdict is what an answer says about the request it belongs to.
+// Verdict tells whether an upstream ran the request that it answered.
 type Verdict int
 
 // The verdicts.
 const (
 	// Ran: the upstream worked on the request.
 	Ran Verdict = iota
-	// NotRun: the upstream states that it did not run the request.
+	// NotRun: the upstream reports that it did not run the request.
 	NotRun
-	// WrongUpstream: another upstream has the address; the request was not run.
+	// WrongUpstream: another upstream uses the address, and it did not run the request.
 	WrongUpstream
 )
 
-// CopyResult is an engine's answer to an order to copy a generation's memory.
+// CopyResult is an engine's answer to a copy command.
 type CopyResult struct {
 	Outcome CopyOutcome
-	// Handle names the copy.
+	// Handle identifies the copy.
 	Handle string
-	// Events is the number of events the generation had made.
+	// Events is the number of events that the generation had produced when the copy was made.
 	Events int
 }
 
-// CopyOutcome tells how an order to copy ended.
+// CopyOutcome tells how a copy command ended.
 type CopyOutcome int
 
-// The outcomes of an order to copy.
+// The outcomes of a copy command.
 const (
 	// Copied: the target holds the memory.
 	Copied CopyOutcome = iota
-	// NoSuchRun: the generation has ended or is not there.
+	// NoSuchRun: the engine does not run the generation, or it has ended.
 	NoSuchRun
-	// CopyUnderWay: another order for the generation is not done yet.
+	// CopyUnderWay: another copy command for the generation is still in progress.
 	CopyUnderWay
-	// NoRoom: the target has no room or cannot be reached.
+	// NoRoom: the target lacks memory or cannot be reached.
 	NoRoom
-	// CopyFailed: the answer says nothing of the above.
+	// CopyFailed: the answer reports none of the other outcomes.
 	CopyFailed
 )
 
-// EngineState is what an engine says of itself, as it was some time before.
+// EngineState is the state that an engine reports about itself; it may already be out of date.
 type EngineState struct {
-	// Born is the Unix millisecond of its start, 0 if it does not say.
+	// Born is the engine's start time in Unix milliseconds, 0 if the engine does not report it.
 	Born int64
-	// Leaving tells that the engine is about to leave.
+	// Leaving is set when the engine is about to leave.
 	Leaving bool
-	// Waiting is the number of requests that it has not let in.
+	// Waiting is the number of requests that the engine has not admitted yet.
 	Waiting int
-	// Unbegun is the number of those let in that have made nothing yet: their prompts
-	// are being read.
+	// Unbegun is the number of admitted requests that have produced no output yet, because their prompts
+	// are still being processed.
 	Unbegun int
 }
 
-// Limit is what an answer says of how much its upstream takes.
+// Limit is the rate limit that an upstream states in an answer.
 type Limit struct {
-	// Named tells that it takes no more than Rate requests a second from all entries
-	// together.
+	// Named is set when the upstream accepts at most Rate requests per second from all entries together.
 	Named bool
 	Rate  float64
 }
 
-// Notice is what the head of an answer says of its upstream itself, whatever became of the request.
+// Notice is the information about the upstream itself in the head of an answer. It is valid whether the
+// request succeeded or not.
 type Notice struct {
-	// Leaving tells that the upstream is about to leave.
+	// Leaving is set when the upstream is about to leave.
 	Leaving bool
-	// BackOffUntil is the steady time until which the upstream wants no requests from this
-	// process; zero if it does not say.
+	// BackOffUntil is the steady time until which the upstream asks this process to send no requests; zero
+	// if the upstream asks for no backoff.
 	BackOffUntil time.Time
 }
 
-// Refusal is a final answer of the system's own.
+// Refusal is a final answer that the gateway itself gives instead of an upstream.
 type Refusal struct {
 	Status int
-	// Reason is for the caller's logs.
+	// Reason is a text for the caller's logs.
 	Reason string
-	// ComeBack is the steady time from which the caller may try again; zero for none.
+	// ComeBack is the steady time after which the caller may retry; zero if none is stated.
 	ComeBack time.Time
 }
 
-// Protocol spells requests, answers and orders.
+// Protocol encodes and decodes requests, answers and engine commands.
 type Protocol struct {
-	// IDHeader is the header that names a request in answers.
+	// IDHeader is the name of the header that carries the request ID in answers.
 	IDHeader string
-	// Decode reads a caller's request; its body is not touched.
+	// Decode decodes a caller's request without reading its body.
 	Decode func(r *http.Request, now time.Time) Call
-	// Forward returns the request for an upstream. The body is added by the caller.
+	// Forward returns the request for an upstream; the calling code adds the body.
 	Forward func(c *Call, a Attempt, now time.Time) link.Request
-	// Verdict reads what an upstream's answer says about the request.
+	// Verdict tells from an upstream's answer whether the upstream ran the request.
 	Verdict func(status int, h http.Header) Verdict
-	// Complete reports whether the head of an answer marks an upstream's whole
-	// answer that may be passed on as a success.
+	// Complete reports whether the head belongs to a complete answer of an upstream that may be forwarded
+	// as a success.
 	Complete func(status int, h http.Header) bool
-	// Limit reads what an upstream's answer says of its limit; an error tells that this
-	// cannot be read.
+	// Limit returns the rate limit that an upstream's answer states; it returns an error if the limit is
+	// invalid.
 	Limit func(h http.Header) (Limit, error)
-	// Notice reads what an upstream's answer says of the upstream itself.
+	// Notice returns the information about the upstream itself in an answer.
 	Notice func(status int, h http.Header, now time.Time) Notice
-	// ComeBack returns the steady time from which an upstream that refused a request wants
-	// others again; zero if it does not say.
+	// ComeBack returns the steady time after which an upstream that refused a request accepts requests
+	// again; zero if the answer states no retry delay.
 	ComeBack func(h http.Header, now time.Time) time.Time
-	// PassHeader copies the headers of an upstream's answer for the caller.
+	// PassHeader copies the headers of an upstream's answer that are forwarded to the caller.
 	PassHeader func(from, to http.Header)
 	// Refuse writes a refusal.
 	Refuse func(w http.ResponseWriter, c *Call, r Refusal, now time.Time)
-	// Copy returns the order to copy a generation's memory to the engine at
-	// target; last stops the generation first.
+	// Copy returns the command to copy a generation's memory to the engine at target; if last is set, the
+	// engine stops the generation first.
 	Copy func(call, target string, last bool) link.Request
-	// CopyResult decodes the answer to such an order.
+	// CopyResult decodes the answer to a copy command.
 	CopyResult func(status int, body []byte) CopyResult
-	// Release returns the order to give up a copy that nobody will use.
+	// Release returns the command to release a copy that is no longer needed.
 	Release func(handle string) link.Request
-	// Report returns the question for an engine's state.
+	// Report returns the query for an engine's state.
 	Report func() link.Request
-	// State decodes the answer.
+	// State decodes the answer to the query that Report returns.
 	State func(status int, body []byte) (EngineState, error)
 }
--- a/internal/protocol/rate.go
+++ b/internal/protocol/rate.go
@@ -10,28 +10,27 @@
 	"github.com/sparshore/sparshore/internal/events"
 )
 
-// ErrRate is wrapped when the limit that an upstream names cannot be read.
-var ErrRate = errors.New("limit of an upstream cannot be read")
+// ErrRate is wrapped by the errors for an invalid rate limit from an upstream.
+var ErrRate = errors.New("invalid rate limit from an upstream")
 
 const (
-	// mostRate is beyond what any upstream gets, in requests a second; a larger limit is none.
-	mostRate = 1_000_000
-	// mostQuoted bounds in bytes what an error repeats of a limit that cannot be read.
-	mostQuoted = 64
+	// maxRate is more requests per second than any upstream receives; a larger limit is treated as maxRate.
+	maxRate = 1_000_000
+	// maxQuotedBytes bounds how much of an invalid limit is quoted in an error.
+	maxQuotedBytes = 64
 )
 
-// ParseRate reads how many requests a second an upstream takes from all entries together, from
-// the values of the header that names it: a decimal number, 0 for none. Of several the least
-// holds. What cannot be a number of requests says nothing of what the upstream takes; the error
-// wraps ErrRate.
+// ParseRate parses the values of the rate limit header: the requests per second that an upstream accepts
+// from all entries together, as decimal numbers, where 0 means that it accepts none. The lowest of several
+// values applies. It returns an error that wraps ErrRate if any value is not a finite number of 0 or more.
 func ParseRate(values []string) (float64, error) {
-	least := float64(mostRate)
+	lowest := float64(maxRate)
 	for _, text := range values {
 		perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil || math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
-			return 0, fmt.Errorf("%w: %q", ErrRate, events.Excerpt(text, mostQuoted))
+			return 0, fmt.Errorf("%w: %q", ErrRate, events.Excerpt(text, maxQuotedBytes))
 		}
-		least = min(least, perSecond)
+		lowest = min(lowest, perSecond)
 	}
-	return least, nil
+	return lowest, nil
 }
--- a/internal/protocol/retryafter.go
+++ b/internal/protocol/retryafter.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// longestWait bounds in seconds what a header may state: a time beyond it fits no duration.
-const longestWait = 365 * 24 * 3600
+// maxRetryAfterSeconds caps the value of a Retry-After header, since a very large number of seconds
+// overflows time.Duration.
+const maxRetryAfterSeconds = 365 * 24 * 3600
 
-// ParseRetryAfter reads the time in seconds, fractions included, that a Retry-After header states,
-// counted from now. It returns the zero time for a date, for what cannot be read, and for none.
+// ParseRetryAfter returns the time that a Retry-After header states in seconds after now; fractions are
+// allowed. It returns the zero time for a date, an invalid value or a missing header.
 func ParseRetryAfter(text string, now time.Time) time.Time {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(seconds > 0) {
 		return time.Time{}
 	}
-	return now.Add(time.Duration(min(seconds, longestWait) * float64(time.Second)))
+	return now.Add(time.Duration(min(seconds, maxRetryAfterSeconds) * float64(time.Second)))
 }
--- a/internal/protocol/retryafter_test.go
+++ b/internal/protocol/retryafter_test.go
@@ -12,7 +12,7 @@
 		want time.Duration
 	}{
 		{"", 0}, {"0.25", 250 * time.Millisecond}, {" 3 ", 3 * time.Second}, {"0", 0}, {"-1", 0}, {"NaN", 0}, {"soon", 0},
-		{"1e300", longestWait * time.Second}, {"Inf", longestWait * time.Second}, {"Wed, 21 Oct 2026 07:28:00 GMT", 0},
+		{"1e300", maxRetryAfterSeconds * time.Second}, {"Inf", maxRetryAfterSeconds * time.Second}, {"Wed, 21 Oct 2026 07:28:00 GMT", 0},
 	} {
 		t.Run(tc.text, func(t *testing.T) {
 			got := ParseRetryAfter(tc.text, now)
