--- a/internal/events/excerpt.go
+++ b/internal/events/excerpt.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// cutMark stands for what is left out.
+// cutMark replaces the end of a shortened text.
 const cutMark = "..."
 
-// Excerpt returns a text, or its start with a mark behind it, in at most some bytes, for a
-// log line: other writers' texts have any size.
-func Excerpt(text string, most int) string {
-	if len(text) <= most {
+// Excerpt shortens a text for a log line to at most maxBytes bytes and marks the cut. It is meant for texts
+// from other processes, whose size is not bounded. A character of several bytes is never split.
+func Excerpt(text string, maxBytes int) string {
+	if len(text) <= maxBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:max(most-len(cutMark), 0)], "") + cutMark
+	return strings.ToValidUTF8(text[:max(maxBytes-len(cutMark), 0)], "") + cutMark
 }
--- a/internal/events/excerpt_test.go
+++ b/internal/events/excerpt_test.go
@@ -8,10 +8,10 @@
 func TestExcerpt(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
 		{"a short text", "abc", "abc"},
-		{"as long as may be", "abcdefg", "abcdefg"},
-		{"too long", "abcdefgh", "abcd..."},
-		{"a sign is not cut", "abcéfgh", "abc..."},
-		{"far too long", strings.Repeat("a", 1<<16), "aaaa..."},
+		{"at the limit", "abcdefg", "abcdefg"},
+		{"over the limit", "abcdefgh", "abcd..."},
+		{"a multi-byte character is not split", "abcéfgh", "abc..."},
+		{"far over the limit", strings.Repeat("a", 1<<16), "aaaa..."},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := Excerpt(tc.text, 7); got != tc.want {
--- a/internal/events/recorder.go
+++ b/internal/events/recorder.go
@@ -1,6 +1,6 @@
-// Package events records what a process does as numbered events: each goes to
-// the structured log and to a bounded ring from which the time line over all
-// processes is gathered.
+// Package events records the activity of a process as numbered events. Every package records through a
+// Recorder, which writes each event to the structured log and keeps the newest ones in a ring buffer. The
+// stamps of a hybrid logical clock order the events of all processes in one time line.
 package events
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/go-logr/logr"
 )
 
-// Stamp is a hybrid logical clock reading: wall time in nanoseconds since the
-// Unix epoch and a counter that orders events of the same reading.
+// Stamp is a reading of a hybrid logical clock: the wall time in nanoseconds since the Unix epoch and a
+// counter that orders events with the same wall time.
 type Stamp struct {
 	Wall  int64  `json:"wall"`
 	Logic uint32 `json:"logic"`
@@ -37,7 +37,7 @@
 	Fields      map[string]string `json:"fields,omitempty"`
 }
 
-// Recorder writes events to a log and keeps the newest of them.
+// Recorder writes events to a log and keeps the newest ones in a ring buffer.
 type Recorder struct {
 	log         logr.Logger
 	process     string
@@ -61,7 +61,7 @@
 	}
 }
 
-// Nop returns a Recorder that keeps a few events and logs nothing, for tests.
+// Nop returns a Recorder for tests that keeps 256 events and logs nothing.
 func Nop() *Recorder { return New(logr.Discard(), "test", "0", 256, time.Now) }
 
 // Note records one event. request may be empty; kv are alternating names and
@@ -76,7 +76,8 @@
 	r.keep(e)
 }
 
-// Observe moves the logical clock past a stamp received from another process.
+// Observe advances the logical clock to a stamp received from another process, so that later events here
+// come after it.
 func (r *Recorder) Observe(s Stamp) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// Now returns a fresh stamp to send along with a message.
+// Now returns a new stamp to send with a message.
 func (r *Recorder) Now() Stamp {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/events/recorder_test.go
+++ b/internal/events/recorder_test.go
@@ -32,7 +32,9 @@
 	}
 }
 
-func TestStampsOrderEventsWhenTheClockStandsStill(t *testing.T) {
+// Two events must get different, ordered stamps although the wall clock does not advance between them and
+// another process has sent a later stamp.
+func TestStampsOrderEventsWhenClockDoesNotAdvance(t *testing.T) {
 	fixed := time.Unix(100, 0)
 	r := New(logr.Discard(), "p", "1", 8, func() time.Time { return fixed })
 	r.Observe(Stamp{Wall: fixed.UnixNano() + 5, Logic: 7})
@@ -44,7 +46,7 @@
 	}
 }
 
-func TestRingKeepsTheNewestOldestFirst(t *testing.T) {
+func TestSelectReturnsNewestEventsOldestFirst(t *testing.T) {
 	r := New(logr.Discard(), "p", "1", 3, time.Now)
 	for i := range 5 {
 		r.Note(RequestEnded, fmt.Sprint(i))
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -97,7 +97,7 @@
 rows=platform/fields.go
 mutant rows-name $rows 's/if row == "" \{/if false {/' platform TestRowsThatAreNoRows
 mutant rows-bytes $rows 's/if !utf8\.Valid\(value\) \{/if !utf8.Valid(nil) {/' platform TestRowsThatAreNoRows
-mutant rows-told internal/events/excerpt.go 's/if len\(text\) <= most \{/if len(text) >= 0 {/' internal/events TestExcerpt
+mutant rows-told internal/events/excerpt.go 's/if len\(text\) <= maxBytes \{/if len(text) >= 0 {/' internal/events TestExcerpt
 mutant rows-missing $rows 's/\t\tf\.fail\(reasonMissing, "%s is missing", name\)\n//' platform TestRowsOfOtherWriters
 mutant rows-null $rows 's/string\(raw\) == "null" \|\| //' platform TestRowsOfOtherWriters
 mutant rows-empty $rows 's/if f\.read\(name, &s\) && s == "" \{/if f.read(name, \&s) \&\& s == "\\x00" {/' platform TestRowsOfOtherWriters
