--- a/internal/logline/writer.go
+++ b/internal/logline/writer.go
@@ -1,6 +1,5 @@
-// Package logline writes log lines without ever holding up the writer: lines
-// pass through a bounded queue, and what is beyond a bound a second is left out
-// and counted.
+// Package logline provides a non-blocking io.Writer for the log lines of a process. Lines pass through a
+// bounded queue to the output. Lines that exceed the limit per second or the queue are dropped and counted.
 package logline
 
 import (
@@ -9,15 +8,15 @@
 	"time"
 )
 
-// Settings bound the volume of a Writer.
+// Settings bound the number of lines that a Writer accepts.
 type Settings struct {
-	// Lines is the most lines a second.
+	// Lines is the maximum number of lines per second.
 	Lines int
-	// Queue is the most lines that wait for the output.
+	// Queue is the maximum number of lines that wait for the output.
 	Queue int
 }
 
-// Writer is an io.Writer for whole lines.
+// Writer is an io.Writer that expects one complete line in each Write.
 type Writer struct {
 	settings Settings
 	out      io.Writer
@@ -29,15 +28,14 @@
 	dropped  atomic.Int64
 }
 
-// New returns a Writer and starts its output.
+// New returns a Writer and starts the goroutine that writes to out.
 func New(settings Settings, out io.Writer, now func() time.Time) *Writer {
 	w := &Writer{settings: settings, out: out, now: now, queue: make(chan []byte, settings.Queue), done: make(chan struct{})}
-	go w.drain()
+	go w.writeQueued()
 	return w
 }
 
-// Write takes one line over. It never blocks; a line beyond the bounds is
-// counted as dropped.
+// Write queues a copy of one line. It never blocks; a line that exceeds the bounds is dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
 	second := w.now().Unix()
 	if w.second.Swap(second) != second {
@@ -55,19 +53,19 @@
 	return len(line), nil
 }
 
-// Dropped returns the lines left out since the last call.
+// Dropped returns the number of lines dropped since the last call.
 func (w *Writer) Dropped() int64 { return w.dropped.Swap(0) }
 
-// Close writes what waits and stops. Write must not be called after it.
+// Close writes the queued lines and stops the Writer. Write must not be called after Close.
 func (w *Writer) Close() {
 	close(w.queue)
 	<-w.done
 }
 
-func (w *Writer) drain() {
+func (w *Writer) writeQueued() {
 	defer close(w.done)
 	for line := range w.queue {
-		// There is no other place to report that the output is gone.
+		// A failed write is ignored: a failure of the log output cannot be logged.
 		_, _ = w.out.Write(line)
 	}
 }
--- a/internal/logline/writer_test.go
+++ b/internal/logline/writer_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// blockedOutput takes nothing until it is released.
+// blockedOutput blocks every write until release is closed.
 type blockedOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
 func (b *blockedOutput) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.got.Write(p)
+	return b.written.Write(p)
 }
 
 func TestWriterNeverBlocks(t *testing.T) {
@@ -27,14 +27,14 @@
 	for range 100 {
 		_, _ = w.Write([]byte("line\n"))
 	}
-	// One line may be on its way to the output besides those that wait.
+	// Besides the queued lines, one line may be blocked in the output.
 	if n := w.Dropped(); n < 95 || n > 96 {
-		t.Errorf("%d lines dropped, want all but those that wait", n)
+		t.Errorf("%d lines dropped, want all but the queued ones", n)
 	}
 	close(out.release)
 	w.Close()
-	if n := bytes.Count(out.got.Bytes(), []byte("\n")); n < 4 || n > 5 {
-		t.Errorf("%d lines written, want those that waited", n)
+	if n := bytes.Count(out.written.Bytes(), []byte("\n")); n < 4 || n > 5 {
+		t.Errorf("%d lines written, want the queued ones", n)
 	}
 }
 
