--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,6 +1,5 @@
-// Package kernel is the small core of every process: an fx application and a
-// registry in which services find each other by name. Services start in the
-// order of the role's list and stop in reverse.
+// Package kernel runs the services of a process as an fx application. Services look each other up by name
+// in a Registry. They start in the order of the list that is passed to Run and stop in reverse order.
 package kernel
 
 import (
@@ -17,8 +16,7 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// ErrNoService is returned when a name is not registered, or is registered
-// with a value of another type.
+// ErrNoService is wrapped when a name is not registered, or is registered with a value of another type.
 var ErrNoService = errors.New("no such service")
 
 // Name identifies a service in a process.
@@ -33,7 +31,7 @@
 // NewRegistry returns an empty Registry.
 func NewRegistry() *Registry { return &Registry{values: map[Name]any{}} }
 
-// Register makes value known under name.
+// Register stores value under name and replaces any earlier value.
 func (r *Registry) Register(name Name, value any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +58,7 @@
 	Stop  func(ctx context.Context, r *Registry) error
 }
 
-// Limits bound the start and the planned stop of a process.
+// Limits are the time limits for the start and the planned stop of a process.
 type Limits struct {
 	Start time.Duration
 	Stop  time.Duration
@@ -79,8 +77,8 @@
 	if err := app.Err(); err != nil {
 		return fmt.Errorf("build: %w", err)
 	}
-	// The signals stay taken until the services have stopped: restarts may come in
-	// series, and a second SIGTERM would end the process in the middle of its stop.
+	// The signals stay caught until the services have stopped: several restarts may follow each other
+	// closely, and the default action of a second SIGTERM would end the process during its planned stop.
 	sigs := make(chan os.Signal, 1)
 	signal.Notify(sigs, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(sigs)
@@ -98,8 +96,7 @@
 	return nil
 }
 
-// waitForEnd waits for the first signal that asks the process to end, or for the
-// end of ctx.
+// waitForEnd waits for a termination signal or the end of ctx.
 func waitForEnd(ctx context.Context, sigs <-chan os.Signal) {
 	select {
 	case <-sigs:
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLookupNamesWhatIsMissing(t *testing.T) {
+func TestLookupFailsForUnknownNameOrWrongType(t *testing.T) {
 	r := NewRegistry()
 	r.Register("n", 7)
 	if n, err := Lookup[int](r, "n"); err != nil || n != 7 {
@@ -42,10 +42,9 @@
 	}
 }
 
-// Restarts may come in series: a second signal must not end a process that is
-// still serving what it had in flight. Without the safeguard the signal ends the
-// test's own process.
-func TestSecondSignalDoesNotEndAStop(t *testing.T) {
+// A second SIGTERM, as several restarts in a row send it, must not end a process that is still finishing its
+// requests in flight. If the signal is no longer caught during the stop, it ends the test process itself.
+func TestSecondSignalDoesNotInterruptStop(t *testing.T) {
 	stopped := false
 	stop := func(context.Context, *Registry) error {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
