--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard turns faults of this program into errors where what was read from others
-// caused them: each process that reads the same would end by it, one after the other, and
-// again at its next start.
+// Package guard turns a panic into an error. Code that processes data from other processes calls it, because
+// a panic over such data would crash every process that reads the same data, and crash it again after each
+// restart.
 package guard
 
 import (
@@ -9,18 +9,18 @@
 	"runtime/debug"
 )
 
-// ErrFault is wrapped by the errors for faults.
-var ErrFault = errors.New("a fault of this program")
+// ErrFault is wrapped by the errors that Do returns for a panic.
+var ErrFault = errors.New("panic in this program")
 
-// mostStack bounds in bytes the stack in an error: some twenty calls.
-const mostStack = 4 << 10
+// maxStackBytes bounds the stack trace in an error; it holds about twenty calls.
+const maxStackBytes = 4 << 10
 
 // Do calls f and returns its error, or one that wraps ErrFault if it panicked.
 func Do(f func() error) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			stack := debug.Stack()
-			err = fmt.Errorf("%w: %v: %s", ErrFault, v, stack[:min(len(stack), mostStack)])
+			err = fmt.Errorf("%w: %v: %s", ErrFault, v, stack[:min(len(stack), maxStackBytes)])
 		}
 	}()
 	return f()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -13,10 +13,10 @@
 		f    func() error
 		want error
 	}{
-		{"nothing", func() error { return nil }, nil},
+		{"no error", func() error { return nil }, nil},
 		{"an error", func() error { return errOwn }, errOwn},
 		{"a panic", func() error { panic("oops") }, ErrFault},
-		{"a fault of the runtime", func() error {
+		{"a runtime error", func() error {
 			var none []int
 			_ = none[len(none)]
 			return nil
@@ -27,8 +27,8 @@
 			if !errors.Is(err, tc.want) {
 				t.Errorf("%v, want %v", err, tc.want)
 			}
-			if errors.Is(tc.want, ErrFault) && (!strings.Contains(err.Error(), "guard_test.go") || len(err.Error()) > 2*mostStack) {
-				t.Errorf("%d bytes without the place: %v", len(err.Error()), err)
+			if errors.Is(tc.want, ErrFault) && (!strings.Contains(err.Error(), "guard_test.go") || len(err.Error()) > 2*maxStackBytes) {
+				t.Errorf("%d bytes, too long or without the location of the panic: %v", len(err.Error()), err)
 			}
 		})
 	}
