--- a/internal/rollout/chunks.go
+++ b/internal/rollout/chunks.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	minChunk = 4 << 10
-	maxChunk = 64 << 10
-	// chunkMask makes chunks of about 16 KB on average above the minimum.
+	minChunkBytes = 4 << 10
+	maxChunkBytes = 64 << 10
+	// chunkMask sets the average chunk size to about 16 KB, counted above the minimum.
 	chunkMask = 1<<13 - 1
-	// chunkHashBytes is enough to tell chunks apart; the whole content is
-	// checked by its own full hash.
+	// chunkHashBytes is the length of the truncated hash that identifies a chunk. A short hash is enough,
+	// since the joined content is checked against its own full hash.
 	chunkHashBytes = 16
 )
 
-// gear maps bytes to random words for the rolling hash.
+// gear maps each byte to a pseudo-random word for the rolling hash (a gear hash).
 var gear = func() [256]uint64 {
 	var g [256]uint64
 	for i := range g {
@@ -28,21 +28,21 @@
 	return g
 }()
 
-// chunk is a piece of a configuration; its bounds depend on the content around
-// them alone, so a change in one place leaves the other pieces as they are.
+// chunk is a content-defined piece of a configuration. Its boundaries depend only on the content near them,
+// so a change in one place leaves the other chunks unchanged.
 type chunk struct {
 	hash    string
 	content []byte
 }
 
-// split cuts content into chunks.
+// split splits content into chunks at the boundaries that the rolling hash selects.
 func split(content []byte) []chunk {
 	var out []chunk
 	start, rolling := 0, uint64(0)
 	for i, b := range content {
 		rolling = rolling<<1 + gear[b]
 		size := i + 1 - start
-		if (size >= minChunk && rolling&chunkMask == 0) || size >= maxChunk {
+		if (size >= minChunkBytes && rolling&chunkMask == 0) || size >= maxChunkBytes {
 			out = append(out, newChunk(content[start:i+1]))
 			start, rolling = i+1, 0
 		}
@@ -58,25 +58,24 @@
 	return chunk{hash: hex.EncodeToString(sum[:chunkHashBytes]), content: content}
 }
 
-// parts is chunks by their hashes.
-type parts map[string][]byte
+// chunkSet maps the hash of each chunk to its content.
+type chunkSet map[string][]byte
 
-func partsOf(chunks []chunk) parts {
-	p := parts{}
+func newChunkSet(chunks []chunk) chunkSet {
+	p := chunkSet{}
 	for _, c := range chunks {
 		p[c.hash] = c.content
 	}
 	return p
 }
 
-// errMissing is returned by join when a chunk is not at hand.
-var errMissing = errors.New("chunk not at hand")
+// errMissingChunks is wrapped by join when no source has a chunk.
+var errMissingChunks = errors.New("missing chunks")
 
-// join puts content together from chunks found in the given places. missing
-// lists those found nowhere.
-func join(hashes []string, places ...parts) (content []byte, missing []string, err error) {
+// join assembles content from the chunks in the given sources. missing lists the hashes that no source has.
+func join(hashes []string, sources ...chunkSet) (content []byte, missing []string, err error) {
 	for _, h := range hashes {
-		b, ok := find(h, places)
+		b, ok := findChunk(h, sources)
 		if !ok {
 			missing = append(missing, h)
 			continue
@@ -84,13 +83,13 @@
 		content = append(content, b...)
 	}
 	if len(missing) > 0 {
-		return nil, missing, fmt.Errorf("%w: %d of %d", errMissing, len(missing), len(hashes))
+		return nil, missing, fmt.Errorf("%w: %d of %d", errMissingChunks, len(missing), len(hashes))
 	}
 	return content, nil, nil
 }
 
-func find(hash string, places []parts) ([]byte, bool) {
-	for _, p := range places {
+func findChunk(hash string, sources []chunkSet) ([]byte, bool) {
+	for _, p := range sources {
 		if b, ok := p[hash]; ok {
 			return b, true
 		}
--- a/internal/rollout/chunks_test.go
+++ b/internal/rollout/chunks_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestSplitAndJoinGiveTheSameContent(t *testing.T) {
+func TestSplitAndJoinPreserveContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		unit := rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "unit")
 		content := bytes.Repeat(unit, rapid.IntRange(0, 3000).Draw(t, "times"))
@@ -17,13 +17,15 @@
 		for _, c := range chunks {
 			hashes = append(hashes, c.hash)
 		}
-		got, missing, err := join(hashes, partsOf(chunks))
+		got, missing, err := join(hashes, newChunkSet(chunks))
 		if err != nil || len(missing) > 0 || !bytes.Equal(got, content) {
-			t.Fatalf("%d bytes became %d, missing %d, %v", len(content), len(got), len(missing), err)
+			t.Fatalf("content of %d bytes has %d after split and join, missing %d, %v", len(content), len(got), len(missing), err)
 		}
 	})
 }
 
+// A change of one account must not move the chunk boundaries in the rest of the configuration, because all
+// chunks after it would then be sent again.
 func TestOneChangedAccountChangesFewChunks(t *testing.T) {
 	text := func(changed int) []byte {
 		var b bytes.Buffer
@@ -36,15 +38,15 @@
 		}
 		return b.Bytes()
 	}
-	old := partsOf(split(text(-1)))
+	old := newChunkSet(split(text(-1)))
 	chunks := split(text(10_000))
-	fresh := 0
+	newChunks := 0
 	for _, c := range chunks {
 		if _, ok := old[c.hash]; !ok {
-			fresh++
+			newChunks++
 		}
 	}
-	if len(chunks) < 10 || fresh > 2 {
-		t.Errorf("%d of %d chunks are new after one change", fresh, len(chunks))
+	if len(chunks) < 10 || newChunks > 2 {
+		t.Errorf("%d of %d chunks are new after one change", newChunks, len(chunks))
 	}
 }
--- a/internal/rollout/coordinator.go
+++ b/internal/rollout/coordinator.go
@@ -17,7 +17,7 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// State is where a change stands.
+// State is the state of a change.
 type State string
 
 // The states of a change. Accepted and Refused are final.
@@ -28,50 +28,49 @@
 	InDoubt   State = "unknown"
 )
 
-// Outcome is the answer to an operator's change.
+// Outcome is the result of an operator's change.
 type Outcome struct {
 	state   State
 	version config.Version
 	reasons []string
 }
 
-// State returns where the change stands.
+// State returns the state of the change.
 func (o Outcome) State() State { return o.state }
 
-// Version returns the version of a committed change, or the one that won over
-// a refused change.
+// Version returns the version of a committed change, or the committed version that a refused change
+// conflicts with.
 func (o Outcome) Version() config.Version { return o.version }
 
-// Reasons returns zone, process and cause for each thing that stands against
-// the change.
+// Reasons returns why the change is not accepted, with zone, process and cause for each process concerned.
 func (o Outcome) Reasons() []string { return o.reasons }
 
-// Change is what an operator submits.
+// Change is a configuration change that an operator submits.
 type Change struct {
-	// ID is unique; asking again with the same one never applies it twice.
+	// ID is unique for each change. A change that is submitted again with its ID is applied only once.
 	ID string
-	// By is the operator.
+	// By is the name of the operator.
 	By string
-	// Base is the version the operator started from.
+	// Base is the version from which the change was made.
 	Base config.Version
 	// Source is the whole configuration.
 	Source []byte
 }
 
-// Target is one process that must agree. Call is the seam to it.
+// Target is a process that must stage and activate a change. Its call function sends requests to it.
 type Target struct {
 	name string
 	zone string
 	call func(ctx context.Context, method string, params, result any) error
 }
 
-// NewTarget returns a target that is reached by call.
+// NewTarget returns a target to which call sends requests.
 func NewTarget(name, zone string, call func(ctx context.Context, method string, params, result any) error) Target {
 	return Target{name: name, zone: zone, call: call}
 }
 
-// TargetsOf returns the processes on the VM list that are not leaving. The list
-// is read anew each time: a process that joined since must not be overlooked.
+// TargetsOf returns a function that lists the processes on the VM list that are not leaving. The function
+// reads the VM list on each call, so that it includes processes that joined in the meantime.
 func TargetsOf(set *membership.Set) func(ctx context.Context) ([]Target, error) {
 	return func(ctx context.Context) ([]Target, error) {
 		if err := set.Refresh(ctx); err != nil {
@@ -99,34 +98,33 @@
 
 var errNoConnection = errors.New("no connection")
 
-// Deadlines bound the steps of a change.
+// Deadlines bound the duration of the steps of a change.
 type Deadlines struct {
-	// Stage is how long processes may take to agree before the change is
-	// refused.
+	// Stage is how long processes may take to stage the change before it is refused.
 	Stage time.Duration
-	// Confirm is how long the coordinator waits for the change to be in force
-	// everywhere before it answers that it is committed.
+	// Confirm is how long the coordinator waits for the change to be in force everywhere. After that it
+	// reports the change as committed, but not accepted.
 	Confirm time.Duration
 }
 
-// DefaultDeadlines keep a change within the 17 s that users ask for.
+// DefaultDeadlines returns deadlines that keep a change within the 17 s that users require.
 func DefaultDeadlines() Deadlines { return Deadlines{Stage: 8 * time.Second, Confirm: 8 * time.Second} }
 
 const (
-	// noEarlierHomes is the time from which the homes of the first version
-	// hold: there were none before.
-	noEarlierHomes = 1
-
-	headGroup   = "config"
-	headName    = "head"
-	changeGroup = "change"
-	retryPause  = 100 * time.Millisecond
-	readTries   = 5
+	// initialHomesSince is the time from which the home upstreams of the first version are valid. No
+	// earlier homes exist, so it is the lowest time that is not 0.
+	initialHomesSince = 1
+
+	headGroup     = "config"
+	headName      = "head"
+	changeGroup   = "change"
+	retryInterval = 100 * time.Millisecond
+	maxTries      = 5
 )
 
 var headKey = platform.Key{Group: headGroup, Name: headName}
 
-// Coordinator takes changes through their steps. Any process can be one.
+// Coordinator stages, commits and confirms changes. Every process can run one.
 type Coordinator struct {
 	store     *Store
 	table     *platform.Table
@@ -137,8 +135,8 @@
 	now       func() time.Time
 }
 
-// NewCoordinator returns a Coordinator; targets lists the processes that must
-// agree at the time of the call.
+// NewCoordinator returns a Coordinator. The function targets lists the processes that must stage and activate
+// a change at the time of its call.
 func NewCoordinator(store *Store, table *platform.Table, objects *platform.Objects, targets func(ctx context.Context) ([]Target, error), rec *events.Recorder, deadlines Deadlines, now func() time.Time) *Coordinator {
 	return &Coordinator{store: store, table: table, objects: objects, targets: targets, rec: rec, deadlines: deadlines, now: now}
 }
@@ -150,7 +148,7 @@
 	At      int64          `json:"at"`
 }
 
-// Submit takes a change through stage, commit and confirm.
+// Submit stages, commits and confirms a change.
 func (c *Coordinator) Submit(ctx context.Context, ch Change) Outcome {
 	c.rec.Note(events.ChangeSubmitted, ch.ID, "by", ch.By, "base", ch.Base)
 	out := c.submit(ctx, ch)
@@ -167,8 +165,8 @@
 	return Outcome{state: Refused, version: v, reasons: []string{fmt.Sprintf(format, args...)}}
 }
 
-// wonBy refuses a change because another one took its version.
-func wonBy(h head) Outcome {
+// conflictOutcome returns the refusal of a change whose version was committed for another change, h.
+func conflictOutcome(h head) Outcome {
 	return refused(h.Version, "version %d by %s won the race", h.Version, h.By)
 }
 
@@ -192,21 +190,21 @@
 	}
 	if reasons := c.stageEverywhere(ctx, ch, h.Version+1, cfg); len(reasons) > 0 {
 		if later, _, err := c.readHead(ctx); err == nil && later.Version > h.Version {
-			return wonBy(later)
+			return conflictOutcome(later)
 		}
 		return Outcome{state: Refused, version: h.Version, reasons: reasons}
 	}
 	next := head{Version: h.Version + 1, Hash: cfg.Hash(), Change: ch.ID, By: ch.By, HomesSince: h.HomesSince}
 	if h.Version == 0 {
-		next.HomesSince = noEarlierHomes
+		next.HomesSince = initialHomesSince
 	} else if active := c.store.Active(); active.Version() != h.Version || !config.SameHomes(active.Config(), cfg) {
 		next.HomesSince = 0
 	}
 	return c.commit(ctx, next, before)
 }
 
-// putSource stores what the operator wrote and the canonical form. Writing them
-// twice is harmless, so a lost reply is answered by another try.
+// putSource stores the text that the operator wrote and the canonical form. Both writes are idempotent, so a
+// lost reply is handled by a retry.
 func (c *Coordinator) putSource(ctx context.Context, cfg *config.Config) error {
 	if err := c.putObject(ctx, cfg.Hash()+sourceSuffix, cfg.Source()); err != nil {
 		return err
@@ -216,7 +214,7 @@
 
 func (c *Coordinator) putObject(ctx context.Context, name string, content []byte) error {
 	var err error
-	for range readTries {
+	for range maxTries {
 		if err = c.objects.Put(ctx, name, content); err == nil {
 			return nil
 		}
@@ -224,13 +222,13 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(retryPause + rand.N(retryPause)):
+		case <-time.After(retryInterval + rand.N(retryInterval)):
 		}
 	}
 	return err
 }
 
-// readHead returns the head and its row, which are empty if there is none.
+// readHead returns the head and its record, which are empty if the table has no head.
 func (c *Coordinator) readHead(ctx context.Context) (head, platform.Row, error) {
 	r, err := c.table.Get(ctx, headKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -247,7 +245,7 @@
 	return h, r, nil
 }
 
-// writeHead is the write of a head over the row that was read.
+// writeHead returns the write that replaces the head record read before by h.
 func writeHead(h head, before platform.Row) (platform.Write, error) {
 	value, err := json.Marshal(h)
 	if err != nil {
@@ -256,22 +254,23 @@
 	return platform.Write{Row: platform.Row{Key: headKey, Revision: before.Revision + 1, Value: value}, Was: before.Value}, nil
 }
 
-// stageEverywhere returns what stands against the change, nothing if every
-// process on the list holds it. A process that does not answer is asked again
-// until the deadline, since the VM list may lag behind its end.
+// stageEverywhere stages the change at every process on the VM list and returns the reasons against the change;
+// there are none if every process has staged it. A process that does not answer is called again until the
+// deadline, since a process may stay on the VM list for a while after its end.
 func (c *Coordinator) stageEverywhere(ctx context.Context, ch Change, v config.Version, cfg *config.Config) []string {
 	ctx, cancel := context.WithTimeout(ctx, c.deadlines.Stage)
 	defer cancel()
-	held := map[string]bool{}
+	staged := map[string]bool{}
 	cand := c.candidate(ch, v, cfg)
-	var last []string
+	var lastMissing []string
 	for {
-		missing, refusals := c.stageRound(ctx, cand, held)
-		if ctx.Err() != nil && len(last) > 0 {
-			// The deadline broke this round off; the one before names who is missing.
-			return last
+		missing, refusals := c.stageRound(ctx, cand, staged)
+		if ctx.Err() != nil && len(lastMissing) > 0 {
+			// The deadline interrupted this round; the result of the previous round names the processes
+			// that did not answer.
+			return lastMissing
 		}
-		last = missing
+		lastMissing = missing
 		if len(refusals) > 0 {
 			return refusals
 		}
@@ -281,34 +280,34 @@
 		select {
 		case <-ctx.Done():
 			return missing
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// candidate is a change cut into chunks.
+// candidate is a change that is split into chunks.
 type candidate struct {
-	params stageParams
-	all    parts
+	params   stageParams
+	contents chunkSet
 }
 
-// candidate prepares what is sent to every process: the list of chunks, and the
-// content of those that are not part of what is in force here.
+// candidate prepares the message that is sent to every process: the hashes of all chunks, and the content of
+// the chunks that are not part of the configuration in force here.
 func (c *Coordinator) candidate(ch Change, v config.Version, cfg *config.Config) candidate {
 	chunks := split(cfg.Canonical())
-	cand := candidate{all: partsOf(chunks), params: stageParams{Change: ch.ID, Version: v, Hash: cfg.Hash(), Parts: parts{}}}
-	known := c.store.knownParts()
+	cand := candidate{contents: newChunkSet(chunks), params: stageParams{Change: ch.ID, Version: v, Hash: cfg.Hash(), ChunkContents: chunkSet{}}}
+	active := c.store.activeChunks()
 	for _, k := range chunks {
-		cand.params.Chunks = append(cand.params.Chunks, k.hash)
-		if _, ok := known[k.hash]; !ok {
-			cand.params.Parts[k.hash] = k.content
+		cand.params.ChunkHashes = append(cand.params.ChunkHashes, k.hash)
+		if _, ok := active[k.hash]; !ok {
+			cand.params.ChunkContents[k.hash] = k.content
 		}
 	}
 	return cand
 }
 
-// send stages the candidate at one process, with the chunks it lacks if it asks
-// for them.
+// send stages the candidate at one process. If the process reports missing chunks, send calls it a second time
+// with these chunks included.
 func (cand candidate) send(ctx context.Context, t Target, stamp events.Stamp) (stageResult, error) {
 	params := cand.params
 	params.Stamp = stamp
@@ -316,43 +315,43 @@
 	if err := t.call(ctx, methodStage, params, &r); err != nil || len(r.Missing) == 0 {
 		return r, err
 	}
-	params.Parts = parts{}
+	params.ChunkContents = chunkSet{}
 	for _, h := range r.Missing {
-		params.Parts[h] = cand.all[h]
+		params.ChunkContents[h] = cand.contents[h]
 	}
-	for h, b := range cand.params.Parts {
-		params.Parts[h] = b
+	for h, b := range cand.params.ChunkContents {
+		params.ChunkContents[h] = b
 	}
 	r = stageResult{}
 	err := t.call(ctx, methodStage, params, &r)
 	return r, err
 }
 
-func (c *Coordinator) stageRound(ctx context.Context, cand candidate, held map[string]bool) (missing, refusals []string) {
+func (c *Coordinator) stageRound(ctx context.Context, cand candidate, staged map[string]bool) (missing, refusals []string) {
 	targets, err := c.targets(ctx)
 	if err != nil {
 		return []string{fmt.Sprintf("the VM list cannot be read: %v", err)}, nil
 	}
-	var todo []Target
+	var pending []Target
 	for _, t := range targets {
-		if !held[t.name] {
-			todo = append(todo, t)
+		if !staged[t.name] {
+			pending = append(pending, t)
 		}
 	}
 	stamp := c.rec.Now()
-	results := eachTarget(ctx, todo, func(ctx context.Context, t Target) (stageResult, error) {
+	results := eachTarget(ctx, pending, func(ctx context.Context, t Target) (stageResult, error) {
 		return cand.send(ctx, t, stamp)
 	})
-	for i, t := range todo {
+	for i, t := range pending {
 		switch {
 		case results[i].err != nil:
 			missing = append(missing, fmt.Sprintf("zone %s, process %s: %v", t.zone, t.name, results[i].err))
 		case len(results[i].value.Missing) > 0:
-			missing = append(missing, fmt.Sprintf("zone %s, process %s: %v", t.zone, t.name, errMissing))
+			missing = append(missing, fmt.Sprintf("zone %s, process %s: %v", t.zone, t.name, errMissingChunks))
 		case results[i].value.Refused != "":
 			refusals = append(refusals, fmt.Sprintf("zone %s, process %s: %s", t.zone, t.name, results[i].value.Refused))
 		default:
-			held[t.name] = true
+			staged[t.name] = true
 		}
 	}
 	return missing, refusals
@@ -363,7 +362,7 @@
 	err   error
 }
 
-// eachTarget calls all targets at once, each with its own time limit.
+// eachTarget calls all targets concurrently, each with a time limit of callTimeout.
 func eachTarget[T any](ctx context.Context, targets []Target, call func(ctx context.Context, t Target) (T, error)) []targetResult[T] {
 	out := make([]targetResult[T], len(targets))
 	var wg sync.WaitGroup
@@ -378,8 +377,8 @@
 	return out
 }
 
-// commit writes the head. A lost reply is settled by reading the change's own
-// row, so nothing is said that is not known.
+// commit writes the head and the record of the change in one transaction, and confirms the change. After a lost
+// reply it reads the record of the change, so that it never reports a guessed result.
 func (c *Coordinator) commit(ctx context.Context, next head, before platform.Row) Outcome {
 	write, err := writeHead(next, before)
 	if err != nil {
@@ -395,10 +394,10 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, platform.ErrConflict):
-		return c.lostRace(ctx, next)
+		return c.resolveConflict(ctx, next)
 	default:
 		c.rec.Note(events.PlatformFailed, next.Change, "error", err)
-		if out, done := c.settleCommit(ctx, next); !done {
+		if out, done := c.resolveUnknownCommit(ctx, next); !done {
 			return out
 		}
 	}
@@ -406,7 +405,7 @@
 	return c.confirm(ctx, next)
 }
 
-func (c *Coordinator) lostRace(ctx context.Context, next head) Outcome {
+func (c *Coordinator) resolveConflict(ctx context.Context, next head) Outcome {
 	h, _, err := c.readHead(ctx)
 	if err != nil {
 		return refused(next.Version, "another change won the race for version %d", next.Version)
@@ -414,14 +413,14 @@
 	if h.Change == next.Change {
 		return c.confirm(ctx, h)
 	}
-	return wonBy(h)
+	return conflictOutcome(h)
 }
 
-// settleCommit finds out whether a commit without a reply took effect. done is
-// true if it did. A refusal is only said once the head has moved past the
-// revision the commit needed, so that a late commit cannot take effect.
-func (c *Coordinator) settleCommit(ctx context.Context, next head) (Outcome, bool) {
-	for range readTries {
+// resolveUnknownCommit finds out whether a commit without a reply took effect, and returns true if it did.
+// It reports a refusal only after the head has moved past the revision that the commit requires, because the
+// commit can then no longer take effect late.
+func (c *Coordinator) resolveUnknownCommit(ctx context.Context, next head) (Outcome, bool) {
+	for range maxTries {
 		_, err := c.table.Get(ctx, platform.Key{Group: changeGroup, Name: next.Change})
 		if err == nil {
 			return Outcome{}, true
@@ -429,20 +428,20 @@
 		if errors.Is(err, platform.ErrNotFound) {
 			h, _, err := c.readHead(ctx)
 			if err == nil && h.Version >= next.Version {
-				return wonBy(h), false
+				return conflictOutcome(h), false
 			}
 		}
-		pause := retryPause + rand.N(retryPause)
+		delay := retryInterval + rand.N(retryInterval)
 		select {
 		case <-ctx.Done():
 			return Outcome{state: InDoubt, reasons: []string{"the table did not answer; ask for the change by its identifier"}}, false
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 	return Outcome{state: InDoubt, reasons: []string{"the table did not answer; ask for the change by its identifier"}}, false
 }
 
-// confirm brings a committed head into force everywhere and records that it is.
+// confirm puts a committed head into force everywhere and records it as accepted.
 func (c *Coordinator) confirm(ctx context.Context, h head) Outcome {
 	missing := c.activateEverywhere(ctx, h)
 	if len(missing) > 0 {
@@ -451,7 +450,7 @@
 	if !h.Accepted {
 		accepted, err := c.recordAccepted(ctx, h)
 		if err != nil {
-			return Outcome{state: Committed, version: h.Version, reasons: []string{fmt.Sprintf("in force everywhere, but the table does not know yet: %v", err)}}
+			return Outcome{state: Committed, version: h.Version, reasons: []string{fmt.Sprintf("in force everywhere, but not yet recorded in the table: %v", err)}}
 		}
 		c.activateEverywhere(ctx, accepted)
 	}
@@ -469,7 +468,7 @@
 		select {
 		case <-ctx.Done():
 			return missing
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -490,7 +489,7 @@
 		switch {
 		case results[i].err != nil:
 			missing = append(missing, fmt.Sprintf("zone %s, process %s: %v", t.zone, t.name, results[i].err))
-		case !results[i].value.runs(h):
+		case !results[i].value.atLeast(h):
 			missing = append(missing, fmt.Sprintf("zone %s, process %s: still at a lower version, or at another change of this one", t.zone, t.name))
 		}
 	}
@@ -498,12 +497,12 @@
 	return missing
 }
 
-// errOtherChange is returned for a change whose version the table has of another one: it was restored
-// from a copy.
-var errOtherChange = errors.New("the version is of another change")
+// errOtherChange is wrapped when the table has the version of a change for another change, which happens after
+// the table was restored from an older copy.
+var errOtherChange = errors.New("the version belongs to another change")
 
-// recordAccepted marks the head as in force everywhere; from now on keys have
-// the homes of this version.
+// recordAccepted marks the head in the table as in force everywhere. The home upstreams of this version are
+// valid from this time on.
 func (c *Coordinator) recordAccepted(ctx context.Context, h head) (head, error) {
 	stored, before, err := c.readHead(ctx)
 	if err != nil {
@@ -524,16 +523,16 @@
 		return h, err
 	}
 	if err := c.table.Commit(ctx, write); err != nil {
-		return c.markedByAnother(ctx, h, err)
+		return c.recheckAccepted(ctx, h, err)
 	}
 	c.rec.Note(events.ChangeInForce, h.Change, "version", h.Version)
 	return stored, nil
 }
 
-// markedByAnother looks whether the head was marked all the same: by another
-// process that follows it, or by a write whose reply was lost. A later version
-// needed this one to be in force everywhere first.
-func (c *Coordinator) markedByAnother(ctx context.Context, h head, cause error) (head, error) {
+// recheckAccepted reads the head again after a failed write. It returns the head without an error if it is
+// marked as accepted, by another process that follows the head or by a write whose reply was lost. A later
+// version also proves that this one was in force everywhere, since the later one required it.
+func (c *Coordinator) recheckAccepted(ctx context.Context, h head, cause error) (head, error) {
 	stored, _, err := c.readHead(ctx)
 	if err != nil {
 		return h, errors.Join(cause, err)
--- a/internal/rollout/follow.go
+++ b/internal/rollout/follow.go
@@ -11,7 +11,7 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// Refresh reads the head and takes it if it is higher than what is in force.
+// Refresh reads the head and puts its version into force if it is higher than the one in force here.
 func (c *Coordinator) Refresh(ctx context.Context) error {
 	h, _, err := c.latestHead(ctx)
 	if err != nil {
@@ -20,23 +20,22 @@
 	if h.Version == 0 || config.MarkOf(h.Version, h.Accepted) <= c.store.Mark() {
 		return nil
 	}
-	if c.store.takeStaged(h) {
+	if c.store.activateStaged(h) {
 		return nil
 	}
-	form, err := c.objects.Get(ctx, h.Hash)
+	canonical, err := c.objects.Get(ctx, h.Hash)
 	if err != nil {
 		return fmt.Errorf("content of version %d: %w", h.Version, err)
 	}
-	return c.store.takeForm(h, form)
+	return c.store.activateCanonical(h, canonical)
 }
 
-// Follow keeps up with the head and finishes changes whose coordinator died
-// after the commit, until ctx ends. The period is spread at random so that
-// processes do not read at the same time.
+// Follow polls the head until ctx ends and confirms changes whose coordinator crashed after the commit. The
+// period has a random jitter so that processes do not read at the same time.
 func (c *Coordinator) Follow(ctx context.Context, period time.Duration) {
 	for {
 		if c.Refresh(ctx) == nil {
-			c.finish(ctx)
+			c.confirmPending(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -46,8 +45,8 @@
 	}
 }
 
-// finish confirms a committed head that nobody has confirmed.
-func (c *Coordinator) finish(ctx context.Context) {
+// confirmPending confirms the head in force here if no process has confirmed it yet.
+func (c *Coordinator) confirmPending(ctx context.Context) {
 	c.store.mu.Lock()
 	h := c.store.head
 	c.store.mu.Unlock()
@@ -56,12 +55,12 @@
 	}
 }
 
-// sourceSuffix names the object that holds what the operator wrote, beside the
-// canonical form.
+// sourceSuffix is appended to the name of the canonical form's object. The resulting object holds the
+// configuration as the operator wrote it.
 const sourceSuffix = ".source"
 
-// Source returns a configuration as its operator wrote it, or in its canonical
-// form while the object store does not answer.
+// Source returns a configuration as its operator wrote it. If the object store does not return that text,
+// Source returns the canonical form.
 func (c *Coordinator) Source(ctx context.Context, cfg *config.Config) []byte {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -71,7 +70,7 @@
 	return cfg.Canonical()
 }
 
-// Status returns what the table knows of a change.
+// Status returns the state of a change according to the table.
 func (c *Coordinator) Status(ctx context.Context, id string) (Outcome, error) {
 	h, _, err := c.readHead(ctx)
 	if err != nil {
--- a/internal/rollout/restore.go
+++ b/internal/rollout/restore.go
@@ -11,11 +11,12 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// latestHead reads the head. A table that was restored from an older copy is given back what is in force
-// here first: its versions would be given out again, to other changes.
+// latestHead returns the head in the table. If the table was restored from an older copy, it first writes the
+// head in force here back to the table, because later changes would otherwise get versions that are already
+// in use.
 func (c *Coordinator) latestHead(ctx context.Context) (head, platform.Row, error) {
 	h, row, err := c.readHead(ctx)
-	if err != nil || !c.store.ahead(h) {
+	if err != nil || !c.store.aheadOf(h) {
 		return h, row, err
 	}
 	if err := c.restoreHead(ctx, h, row); err != nil {
@@ -24,14 +25,14 @@
 	return c.readHead(ctx)
 }
 
-// restoreHead writes what is in force here in the place of an older head, whose row was read. That
-// another process was quicker is no error.
+// restoreHead replaces an older head in the table by the one in force here; row is the record of the older
+// head as it was read. A conflict is no error: another process has written the record first.
 func (c *Coordinator) restoreHead(ctx context.Context, older head, row platform.Row) error {
 	own, cfg := c.store.inForce()
 	if err := c.restoreContent(ctx, cfg); err != nil {
 		return fmt.Errorf("content of version %d: %w", own.Version, err)
 	}
-	writes, err := c.writesOf(ctx, own, row)
+	writes, err := c.headWrites(ctx, own, row)
 	if err != nil {
 		return err
 	}
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// restoreContent stores a canonical form that the object store does not have.
+// restoreContent stores the canonical form of cfg if the object store lacks it.
 func (c *Coordinator) restoreContent(ctx context.Context, cfg *config.Config) error {
 	_, err := c.objects.Get(ctx, cfg.Hash())
 	if errors.Is(err, platform.ErrNotFound) {
@@ -56,9 +57,9 @@
 	return err
 }
 
-// writesOf returns the writes of a committed head over the row that was read: its own, and that of its
-// change unless it is there.
-func (c *Coordinator) writesOf(ctx context.Context, h head, before platform.Row) ([]platform.Write, error) {
+// headWrites returns the writes that replace the head record read before by h. They include the record of the
+// change if the table lacks it.
+func (c *Coordinator) headWrites(ctx context.Context, h head, before platform.Row) ([]platform.Write, error) {
 	write, err := writeHead(h, before)
 	if err != nil {
 		return nil, err
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -18,13 +18,13 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// fakePlatform is table and object store with faults.
+// fakePlatform is an in-memory table and object store that can be unavailable or lose replies.
 type fakePlatform struct {
-	mu      sync.Mutex
-	rows    map[platform.Key]platform.Row
-	objects map[string][]byte
-	out     bool
-	loses   int
+	mu          sync.Mutex
+	rows        map[platform.Key]platform.Row
+	objects     map[string][]byte
+	unavailable bool
+	lostReplies int
 }
 
 func newFakePlatform() *fakePlatform {
@@ -38,7 +38,7 @@
 func (f *fakePlatform) get(_ context.Context, k platform.Key) (platform.Row, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.out {
+	if f.unavailable {
 		return platform.Row{}, platform.ErrUnknownOutcome
 	}
 	r, ok := f.rows[k]
@@ -51,7 +51,7 @@
 func (f *fakePlatform) commit(_ context.Context, writes ...platform.Write) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.out {
+	if f.unavailable {
 		return platform.ErrUnknownOutcome
 	}
 	for _, w := range writes {
@@ -63,8 +63,8 @@
 	for _, w := range writes {
 		f.rows[w.Row.Key] = w.Row
 	}
-	if f.loses > 0 {
-		f.loses--
+	if f.lostReplies > 0 {
+		f.lostReplies--
 		return platform.ErrUnknownOutcome
 	}
 	return nil
@@ -89,35 +89,35 @@
 	}
 }
 
-// fleet is a set of processes that coordinators reach by function calls.
-type fleet struct {
-	platform *fakePlatform
-	stores   []*Store
-	mu       sync.Mutex
-	cut      map[int]bool
-	// onActivate may fail single activations.
+// cluster is a set of processes that coordinators reach through function calls.
+type cluster struct {
+	platform     *fakePlatform
+	stores       []*Store
+	mu           sync.Mutex
+	disconnected map[int]bool
+	// onActivate may return an error to fail an activation at process i.
 	onActivate func(i int) error
 }
 
-func newFleet(n int) *fleet {
-	f := &fleet{platform: newFakePlatform(), cut: map[int]bool{}}
+func newCluster(n int) *cluster {
+	f := &cluster{platform: newFakePlatform(), disconnected: map[int]bool{}}
 	for i := range n {
 		f.stores = append(f.stores, NewStore(fmt.Sprint("p", i), fmt.Sprint("z", i%4), events.Nop()))
 	}
 	return f
 }
 
-var errCut = errors.New("link is cut")
+var errDisconnected = errors.New("connection lost")
 
-func (f *fleet) target(i int) Target {
+func (f *cluster) target(i int) Target {
 	methods := f.stores[i].Methods()
 	return NewTarget(fmt.Sprint("p", i), fmt.Sprint("z", i%4), func(ctx context.Context, method string, params, result any) error {
 		f.mu.Lock()
-		cut, hook := f.cut[i], f.onActivate
+		unreachable, hook := f.disconnected[i], f.onActivate
 		f.mu.Unlock()
-		if cut {
+		if unreachable {
 			<-ctx.Done()
-			return errCut
+			return errDisconnected
 		}
 		if method == methodActivate && hook != nil {
 			if err := hook(i); err != nil {
@@ -140,7 +140,7 @@
 	})
 }
 
-func (f *fleet) targets(context.Context) ([]Target, error) {
+func (f *cluster) targets(context.Context) ([]Target, error) {
 	var out []Target
 	for i := range f.stores {
 		out = append(out, f.target(i))
@@ -148,13 +148,13 @@
 	return out, nil
 }
 
-func (f *fleet) setCut(i int, cut bool) {
+func (f *cluster) setDisconnected(i int, disconnected bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[i] = cut
+	f.disconnected[i] = disconnected
 }
 
-func (f *fleet) coordinator(i int) *Coordinator {
+func (f *cluster) coordinator(i int) *Coordinator {
 	return NewCoordinator(f.stores[i], f.platform.table(), f.platform.store(), f.targets, events.Nop(), DefaultDeadlines(), time.Now)
 }
 
@@ -166,7 +166,7 @@
 	return []byte(s + "]\n")
 }
 
-func (f *fleet) versions() []config.Version {
+func (f *cluster) versions() []config.Version {
 	var out []config.Version
 	for _, s := range f.stores {
 		out = append(out, s.Active().Version())
@@ -174,7 +174,7 @@
 	return out
 }
 
-func (f *fleet) everywhere(t *testing.T, v config.Version) {
+func (f *cluster) checkMinVersion(t *testing.T, v config.Version) {
 	t.Helper()
 	for i, got := range f.versions() {
 		if got < v {
@@ -185,12 +185,12 @@
 
 func TestAcceptedMeansInForceEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(4)
+		f := newCluster(4)
 		out := f.coordinator(0).Submit(t.Context(), Change{ID: "c1", By: "op", Source: source(1)})
 		if out.State() != Accepted || out.Version() != 1 {
 			t.Fatalf("outcome %+v", out)
 		}
-		f.everywhere(t, 1)
+		f.checkMinVersion(t, 1)
 		again := f.coordinator(1).Submit(t.Context(), Change{ID: "c1", By: "op", Source: source(1)})
 		if again.State() != Accepted || again.Version() != 1 {
 			t.Errorf("the same change again: %+v", again)
@@ -198,10 +198,10 @@
 	})
 }
 
-func TestOfRacingOperatorsExactlyOneWins(t *testing.T) {
+func TestExactlyOneOfTwoConcurrentChangesIsAccepted(t *testing.T) {
 	for race := range 200 {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet(4)
+			f := newCluster(4)
 			outs := make([]Outcome, 2)
 			var wg sync.WaitGroup
 			for i := range outs {
@@ -217,16 +217,16 @@
 			if won.State() != Accepted || lost.State() != Refused || lost.Version() != 1 || !strings.Contains(strings.Join(lost.Reasons(), " "), "won") {
 				t.Errorf("race %d: %+v and %+v", race, outs[0], outs[1])
 			}
-			f.everywhere(t, 1)
+			f.checkMinVersion(t, 1)
 		})
 	}
 }
 
-// The race above may be decided by the conditional write alone; this one comes
-// after it and is decided by the version the change was made from.
+// A change that is submitted after another one was accepted must be refused because of its base version. The
+// test of concurrent changes does not cover this check, since the conditional write alone may refuse there.
 func TestChangeFromAnOlderVersionIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(4)
+		f := newCluster(4)
 		if out := f.coordinator(0).Submit(t.Context(), Change{ID: "c0", By: "op0", Source: source(1)}); out.State() != Accepted {
 			t.Fatalf("outcome %+v", out)
 		}
@@ -234,14 +234,14 @@
 		if out.State() != Refused || out.Version() != 1 {
 			t.Errorf("outcome %+v, want refused", out)
 		}
-		f.everywhere(t, 1)
+		f.checkMinVersion(t, 1)
 	})
 }
 
-func TestCutZoneRefusesAndIsNamed(t *testing.T) {
+func TestChangeIsRefusedAndNamesUnreachableProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(4)
-		f.setCut(2, true)
+		f := newCluster(4)
+		f.setDisconnected(2, true)
 		out := f.coordinator(0).Submit(t.Context(), Change{ID: "c1", Source: source(1)})
 		if out.State() != Refused || len(out.Reasons()) != 1 || !strings.Contains(out.Reasons()[0], "zone z2, process p2") {
 			t.Fatalf("outcome %+v", out)
@@ -254,12 +254,12 @@
 	})
 }
 
-func TestZoneCutBetweenCommitAndConfirmIsFinishedLater(t *testing.T) {
+func TestChangeUnconfirmedAtOneProcessIsConfirmedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(4)
+		f := newCluster(4)
 		f.onActivate = func(i int) error {
 			if i == 3 {
-				return errCut
+				return errDisconnected
 			}
 			return nil
 		}
@@ -276,19 +276,19 @@
 		time.Sleep(5 * time.Second)
 		cancel()
 		wg.Wait()
-		f.everywhere(t, 1)
+		f.checkMinVersion(t, 1)
 		if st, err := f.coordinator(2).Status(t.Context(), "c1"); err != nil || st.State() != Accepted {
 			t.Errorf("status %+v, %v", st, err)
 		}
 	})
 }
 
-func TestCoordinatorThatDiesAfterTheCommitIsReplaced(t *testing.T) {
+func TestChangeIsConfirmedAfterCoordinatorCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(3)
-		dying, die := context.WithCancel(t.Context())
-		f.onActivate = func(int) error { die(); return errCut }
-		_ = f.coordinator(0).Submit(dying, Change{ID: "c1", Source: source(1)})
+		f := newCluster(3)
+		submitCtx, cancelSubmit := context.WithCancel(t.Context())
+		f.onActivate = func(int) error { cancelSubmit(); return errDisconnected }
+		_ = f.coordinator(0).Submit(submitCtx, Change{ID: "c1", Source: source(1)})
 		f.mu.Lock()
 		f.onActivate = nil
 		f.mu.Unlock()
@@ -298,19 +298,19 @@
 		time.Sleep(5 * time.Second)
 		cancel()
 		wg.Wait()
-		f.everywhere(t, 1)
+		f.checkMinVersion(t, 1)
 	})
 }
 
-// A refusal names the process that did not answer, also when the deadline breaks
-// off a later look at the VM list.
-func TestDeadlineDuringTheVMListStillNamesTheProcess(t *testing.T) {
+// A refusal must name the process that did not answer, even if the deadline interrupts a later read of the VM
+// list.
+func TestDeadlineDuringVMListReadStillNamesProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(2)
-		f.setCut(1, true)
-		looks := 0
+		f := newCluster(2)
+		f.setDisconnected(1, true)
+		listReads := 0
 		targets := func(ctx context.Context) ([]Target, error) {
-			if looks++; looks > 1 {
+			if listReads++; listReads > 1 {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -324,18 +324,18 @@
 	})
 }
 
-// Another entry that follows the head may mark it as in force first. Losing that
-// race to one's own goal is success.
+// Another process that follows the head may mark it as accepted first. The coordinator's own write then fails
+// with a conflict, but the change must still be reported as accepted.
 func TestAnotherProcessMarksTheChangeFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(3)
+		f := newCluster(3)
 		table := f.platform.table()
-		marks := 0
+		commits := 0
 		commit := table.Commit
 		table.Commit = func(ctx context.Context, writes ...platform.Write) error {
-			// The second write of a change marks its head: another process is
-			// quicker with the very same row.
-			if marks++; marks == 2 {
+			// The second commit of a change marks its head as accepted. Here another process commits the
+			// same record first.
+			if commits++; commits == 2 {
 				if err := commit(ctx, writes...); err != nil {
 					t.Error(err)
 				}
@@ -347,30 +347,30 @@
 		if out.State() != Accepted {
 			t.Fatalf("outcome %+v, want accepted", out)
 		}
-		f.everywhere(t, 1)
+		f.checkMinVersion(t, 1)
 	})
 }
 
-func TestLostReplyToTheCommitIsLookedUp(t *testing.T) {
+func TestLostReplyToCommitIsResolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(3)
-		f.platform.loses = 1
+		f := newCluster(3)
+		f.platform.lostReplies = 1
 		out := f.coordinator(0).Submit(t.Context(), Change{ID: "c1", Source: source(1)})
 		if out.State() != Accepted {
 			t.Fatalf("outcome %+v", out)
 		}
-		f.everywhere(t, 1)
+		f.checkMinVersion(t, 1)
 	})
 }
 
-func TestTableOutageIsNeverTakenForARefusalAfterTheWrite(t *testing.T) {
+func TestTableOutageAfterCommitIsNotReportedAsRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(2)
+		f := newCluster(2)
 		table := f.platform.table()
 		commit := table.Commit
 		table.Commit = func(ctx context.Context, w ...platform.Write) error {
 			err := commit(ctx, w...)
-			f.platform.out = true
+			f.platform.unavailable = true
 			return errors.Join(err, platform.ErrUnknownOutcome)
 		}
 		c := NewCoordinator(f.stores[0], table, f.platform.store(), f.targets, events.Nop(), DefaultDeadlines(), time.Now)
@@ -382,13 +382,13 @@
 
 func TestVersionNeverGoesDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(2)
+		f := newCluster(2)
 		c := f.coordinator(0)
 		c.Submit(t.Context(), Change{ID: "c1", Source: source(1)})
 		first := f.stores[1].head
 		c.Submit(t.Context(), Change{ID: "c2", Base: 1, Source: source(2)})
-		f.stores[1].takeStaged(first)
-		if err := f.stores[1].takeForm(first, f.platform.objects[first.Hash]); err != nil {
+		f.stores[1].activateStaged(first)
+		if err := f.stores[1].activateCanonical(first, f.platform.objects[first.Hash]); err != nil {
 			t.Error(err)
 		}
 		if v := f.stores[1].Active().Version(); v != 2 {
@@ -397,17 +397,17 @@
 	})
 }
 
-func TestInvalidConfigurationIsRefusedWithItsFaults(t *testing.T) {
-	f := newFleet(2)
+func TestInvalidConfigurationIsRefused(t *testing.T) {
+	f := newCluster(2)
 	out := f.coordinator(0).Submit(t.Context(), Change{ID: "c1", Source: []byte("pools: 7\n")})
 	if out.State() != Refused {
 		t.Errorf("outcome %+v", out)
 	}
 }
 
-func TestProcessThatCannotRunACandidateRefusesIt(t *testing.T) {
+func TestProcessRefusesCandidateThatItCannotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(2)
+		f := newCluster(2)
 		f.stores[1].Validate = func(*config.Config) error { return errors.New("policy does not compile") }
 		out := f.coordinator(0).Submit(t.Context(), Change{ID: "c1", Source: source(1)})
 		if out.State() != Refused || !strings.Contains(strings.Join(out.Reasons(), ""), "process p1: policy does not compile") {
@@ -416,19 +416,19 @@
 	})
 }
 
-// TestRandomCutsAndLostReplies submits changes from racing coordinators while
-// links are cut and replies lost, and checks after each answer that accepted
-// changes are in force everywhere and refused ones were never committed.
-func TestRandomCutsAndLostReplies(t *testing.T) {
+// TestRandomDisconnectsAndLostReplies submits changes from concurrent coordinators while processes are
+// unreachable and replies are lost. It checks after each round that accepted changes are in force everywhere
+// and that refused ones were never committed.
+func TestRandomDisconnectsAndLostReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(6)
+		f := newCluster(6)
 		rng := rand.New(rand.NewPCG(3, 3))
 		highest := make([]config.Version, len(f.stores))
 		counts := map[State]int{}
 		for n := range 100 {
-			cut := rng.IntN(len(f.stores))
-			f.setCut(cut, rng.IntN(3) == 0)
-			f.platform.loses = rng.IntN(2)
+			unreachable := rng.IntN(len(f.stores))
+			f.setDisconnected(unreachable, rng.IntN(3) == 0)
+			f.platform.lostReplies = rng.IntN(2)
 			var wg sync.WaitGroup
 			outs := make([]Outcome, 2)
 			base := f.stores[0].Active().Version()
@@ -439,7 +439,7 @@
 				})
 			}
 			wg.Wait()
-			f.setCut(cut, false)
+			f.setDisconnected(unreachable, false)
 			for i, o := range outs {
 				counts[o.State()]++
 				_, committed := f.platform.rows[platform.Key{Group: changeGroup, Name: fmt.Sprintf("c%d-%d", n, i)}]
@@ -447,7 +447,7 @@
 					t.Errorf("change c%d-%d is refused and committed", n, i)
 				}
 				if o.State() == Accepted {
-					f.everywhere(t, o.Version())
+					f.checkMinVersion(t, o.Version())
 				}
 			}
 			if outs[0].State() == Accepted && outs[1].State() == Accepted && outs[0].Version() == outs[1].Version() {
@@ -459,7 +459,7 @@
 				}
 				highest[i] = v
 			}
-			f.coordinator(0).finish(t.Context())
+			f.coordinator(0).confirmPending(t.Context())
 		}
 		t.Logf("outcomes: %v", counts)
 	})
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -1,6 +1,6 @@
-// Package rollout brings configurations into force: each change is staged at
-// every process, committed by one transaction in the platform's table, and
-// confirmed. A process never goes to a lower version.
+// Package rollout puts configuration changes into force in all processes. A Coordinator stages a change at
+// every process, commits it with one transaction in the platform's table, and confirms that it is in force
+// everywhere. Each process keeps its configuration in a Store, which never goes back to a lower version.
 package rollout
 
 import (
@@ -24,18 +24,20 @@
 	maxStaged      = 8
 )
 
-// pendingHomes stands for the unknown time from which homes hold while a
-// change that moves them is not yet in force everywhere.
+// pendingHomes is the time from which the assignment of keys to home upstreams is valid while a change of
+// this assignment is not yet in force everywhere, and the real time is therefore unknown. It lies in the far
+// future, so that no call counts as issued after it.
 var pendingHomes = time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// head is the one row that says what is committed. Times are Unix milliseconds.
+// head is the record of the committed version; the table has only one. Times are Unix milliseconds.
 type head struct {
 	Version  config.Version `json:"version"`
 	Hash     string         `json:"hash"`
 	Change   string         `json:"change"`
 	By       string         `json:"by"`
 	Accepted bool           `json:"accepted"`
-	// HomesSince is 0 while a change of homes is not accepted.
+	// HomesSince is the time since which keys have their home upstreams. It is 0 while a change of the homes
+	// is not accepted yet.
 	HomesSince int64 `json:"homes_since"`
 }
 
@@ -46,21 +48,21 @@
 	return time.UnixMilli(h.HomesSince)
 }
 
-// stageParams carries a candidate as a list of chunks, and the content of those
-// that the receiver is not thought to have.
+// stageParams carries a candidate as a list of chunk hashes, with the content of the chunks that the receiver
+// probably lacks.
 type stageParams struct {
 	Change string `json:"change"`
-	// Version is the one that the change is to get; 0 from an earlier release.
-	Version config.Version `json:"version,omitempty"`
-	Hash    string         `json:"hash"`
-	Chunks  []string       `json:"chunks"`
-	Parts   parts          `json:"parts"`
-	Stamp   events.Stamp   `json:"stamp"`
+	// Version is the version that the change gets when it is committed; an earlier release sends 0.
+	Version       config.Version `json:"version,omitempty"`
+	Hash          string         `json:"hash"`
+	ChunkHashes   []string       `json:"chunks"`
+	ChunkContents chunkSet       `json:"parts"`
+	Stamp         events.Stamp   `json:"stamp"`
 }
 
 type stageResult struct {
 	Refused string `json:"refused,omitempty"`
-	// Missing lists chunks that the receiver needs to be sent.
+	// Missing lists the hashes of the chunks that the coordinator must send in addition.
 	Missing []string     `json:"missing,omitempty"`
 	Process string       `json:"process"`
 	Zone    string       `json:"zone"`
@@ -74,41 +76,40 @@
 
 type activateResult struct {
 	Mark config.Mark `json:"mark"`
-	// Change is the one in force; empty from an earlier release.
+	// Change is the ID of the change in force; an earlier release sends none.
 	Change string       `json:"change,omitempty"`
 	Stamp  events.Stamp `json:"stamp"`
 }
 
-// runs reports whether what an activation left in force is a head, or later.
-func (r activateResult) runs(h head) bool {
-	another := r.Mark.Version() == h.Version && r.Change != "" && r.Change != h.Change
-	return r.Mark >= config.MarkOf(h.Version, h.Accepted) && !another
+// atLeast reports whether the process has head h or a later one in force. Another change with the version of
+// h, as it exists after the table was restored from an older copy, does not count.
+func (r activateResult) atLeast(h head) bool {
+	otherChange := r.Mark.Version() == h.Version && r.Change != "" && r.Change != h.Change
+	return r.Mark >= config.MarkOf(h.Version, h.Accepted) && !otherChange
 }
 
 type getResult struct {
-	Head head   `json:"head"`
-	Form []byte `json:"form"`
+	Head      head   `json:"head"`
+	Canonical []byte `json:"form"`
 }
 
-// Store holds what is in force in one process.
+// Store holds the configuration in force in one process, and the staged candidates.
 type Store struct {
 	process string
 	zone    string
 	rec     *events.Recorder
-	// OnActivate may be set before use; it is called with each configuration
-	// that comes into force, in order.
+	// OnActivate may be set before use. It is called with each configuration that comes into force, in order.
 	OnActivate func(a *config.Active)
-	// Validate may be set before use; it refuses a candidate that this process
-	// could not run.
+	// Validate may be set before use. It returns an error for a candidate that this process could not run.
 	Validate func(c *config.Config) error
 
-	mu     sync.Mutex
-	head   head
-	active *config.Active
-	staged map[string]*config.Config
-	order  []string
-	// known are the chunks of what is in force.
-	known parts
+	mu          sync.Mutex
+	head        head
+	active      *config.Active
+	staged      map[string]*config.Config
+	stagedOrder []string
+	// chunks holds the chunks of the configuration in force; nil until they are needed.
+	chunks chunkSet
 }
 
 // NewStore returns a Store with nothing in force.
@@ -123,10 +124,10 @@
 	return s.active
 }
 
-// Mark returns the mark of what is in force.
+// Mark returns the mark of the configuration in force.
 func (s *Store) Mark() config.Mark { return s.Active().Mark() }
 
-// Methods returns the handlers for coordinators and peers.
+// Methods returns the handlers for the calls of coordinators and peers.
 func (s *Store) Methods() peer.Methods {
 	return peer.Methods{
 		methodStage:    s.handleStage,
@@ -135,10 +136,9 @@
 	}
 }
 
-// stage validates a candidate in its canonical form and holds it, inert, by
-// its hash.
-func (s *Store) stage(form []byte) (*config.Config, error) {
-	cfg, err := config.ParseCanonical(form)
+// stage validates a candidate in its canonical form and keeps it by its hash, without putting it into force.
+func (s *Store) stage(canonical []byte) (*config.Config, error) {
+	cfg, err := config.ParseCanonical(canonical)
 	if err != nil {
 		return nil, err
 	}
@@ -151,11 +151,11 @@
 	defer s.mu.Unlock()
 	if _, ok := s.staged[cfg.Hash()]; !ok {
 		s.staged[cfg.Hash()] = cfg
-		s.order = append(s.order, cfg.Hash())
+		s.stagedOrder = append(s.stagedOrder, cfg.Hash())
 	}
-	if len(s.order) > maxStaged {
-		delete(s.staged, s.order[0])
-		s.order = s.order[1:]
+	if len(s.stagedOrder) > maxStaged {
+		delete(s.staged, s.stagedOrder[0])
+		s.stagedOrder = s.stagedOrder[1:]
 	}
 	return cfg, nil
 }
@@ -166,21 +166,21 @@
 		return nil, fmt.Errorf("stage: %w", err)
 	}
 	s.rec.Observe(p.Stamp)
-	r := s.stageParts(p)
+	r := s.stageChunks(p)
 	r.Process, r.Zone, r.Stamp = s.process, s.zone, s.rec.Now()
 	return r, nil
 }
 
-func (s *Store) stageParts(p stageParams) stageResult {
+func (s *Store) stageChunks(p stageParams) stageResult {
 	if inForce := s.Active().Version(); p.Version != 0 && p.Version <= inForce {
-		// The table may have lost what it acknowledged, and give versions out again.
+		// A table that was restored from an older copy may assign a version a second time.
 		return stageResult{Refused: fmt.Sprintf("version %d is in force here, the change would get version %d", inForce, p.Version)}
 	}
-	form, missing, err := join(p.Chunks, p.Parts, s.knownParts())
+	canonical, missing, err := join(p.ChunkHashes, p.ChunkContents, s.activeChunks())
 	if err != nil {
 		return stageResult{Missing: missing}
 	}
-	cfg, err := s.stage(form)
+	cfg, err := s.stage(canonical)
 	switch {
 	case err != nil:
 		return stageResult{Refused: err.Error()}
@@ -191,18 +191,18 @@
 	return stageResult{}
 }
 
-// knownParts returns the chunks of what is in force.
-func (s *Store) knownParts() parts {
+// activeChunks returns the chunks of the configuration in force.
+func (s *Store) activeChunks() chunkSet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.known == nil && s.active != nil {
-		s.known = partsOf(split(s.active.Config().Canonical()))
+	if s.chunks == nil && s.active != nil {
+		s.chunks = newChunkSet(split(s.active.Config().Canonical()))
 	}
-	return s.known
+	return s.chunks
 }
 
-// errNoSource is returned when a process cannot get the content of a version.
-var errNoSource = errors.New("content of the configuration not at hand")
+// errHashMismatch is wrapped when the content received for a version does not have the hash in its head.
+var errHashMismatch = errors.New("content does not match its hash")
 
 func (s *Store) handleActivate(ctx context.Context, c *peer.Conn, raw json.RawMessage) (any, error) {
 	var p activateParams
@@ -210,7 +210,7 @@
 		return nil, fmt.Errorf("activate: %w", err)
 	}
 	s.rec.Observe(p.Stamp)
-	if !s.takeStaged(p.Head) {
+	if !s.activateStaged(p.Head) {
 		if err := s.CatchUp(ctx, c); err != nil {
 			return nil, err
 		}
@@ -225,11 +225,10 @@
 	if s.active == nil {
 		return getResult{}, nil
 	}
-	return getResult{Head: s.head, Form: s.active.Config().Canonical()}, nil
+	return getResult{Head: s.head, Canonical: s.active.Config().Canonical()}, nil
 }
 
-// CatchUp takes the configuration of the peer on c if it is higher than the
-// own one.
+// CatchUp fetches the configuration of the peer on c and puts it into force if its mark is higher.
 func (s *Store) CatchUp(ctx context.Context, c *peer.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -240,10 +239,10 @@
 	if r.Head.Version == 0 {
 		return nil
 	}
-	return s.takeForm(r.Head, r.Form)
+	return s.activateCanonical(r.Head, r.Canonical)
 }
 
-// inForce returns the head and the configuration in force; the configuration is nil if none is.
+// inForce returns the head and the configuration in force. The configuration is nil if none is in force.
 func (s *Store) inForce() (head, *config.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -253,31 +252,32 @@
 	return s.head, s.active.Config()
 }
 
-// ahead reports whether more is known here than a head says: it is of a table that has lost what it
-// acknowledged.
-func (s *Store) ahead(h head) bool {
+// aheadOf reports whether the state in force here is later than h. The table has then lost commits that it
+// acknowledged, for example in a restore from an older copy.
+func (s *Store) aheadOf(h head) bool {
 	own, cfg := s.inForce()
 	return cfg != nil && (own.Version > h.Version || own.Change == h.Change && own.Accepted && !h.Accepted)
 }
 
-// takeForm brings a committed configuration into force if it is higher.
-func (s *Store) takeForm(h head, form []byte) error {
+// activateCanonical puts the canonical form of a committed version into force if its mark is higher.
+func (s *Store) activateCanonical(h head, canonical []byte) error {
 	if config.MarkOf(h.Version, h.Accepted) <= s.Mark() {
 		return nil
 	}
-	cfg, err := s.stage(form)
+	cfg, err := s.stage(canonical)
 	if err != nil {
 		return fmt.Errorf("version %d: %w", h.Version, err)
 	}
 	if cfg.Hash() != h.Hash {
-		return fmt.Errorf("version %d: %w", h.Version, errNoSource)
+		return fmt.Errorf("version %d: %w", h.Version, errHashMismatch)
 	}
-	s.take(h, cfg)
+	s.activate(h, cfg)
 	return nil
 }
 
-// takeStaged is takeForm for content that is held already.
-func (s *Store) takeStaged(h head) bool {
+// activateStaged is like activateCanonical for content that is staged or already in force here. It returns
+// false if the content is not available here.
+func (s *Store) activateStaged(h head) bool {
 	s.mu.Lock()
 	cfg, ok := s.staged[h.Hash]
 	if !ok && s.active != nil && s.active.Config().Hash() == h.Hash {
@@ -285,14 +285,14 @@
 	}
 	s.mu.Unlock()
 	if ok {
-		s.take(h, cfg)
+		s.activate(h, cfg)
 	}
 	return ok
 }
 
-// take is the only place where a configuration comes into force. The mark
-// never goes down.
-func (s *Store) take(h head, cfg *config.Config) {
+// activate puts a configuration into force unless its mark is not higher than the current one. Every
+// activation goes through this method, so the mark never decreases.
+func (s *Store) activate(h head, cfg *config.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if config.MarkOf(h.Version, h.Accepted) <= s.active.Mark() {
@@ -301,13 +301,13 @@
 		}
 		return
 	}
-	fresh := h.Version > s.active.Version()
+	isNewer := h.Version > s.active.Version()
 	s.head = h
 	if s.active == nil || s.active.Config() != cfg {
-		s.known = nil
+		s.chunks = nil
 	}
 	s.active = config.NewActive(cfg, h.Version, h.Accepted, h.homesSince())
-	if fresh {
+	if isNewer {
 		s.rec.Note(events.ConfigActivated, h.Change, "version", h.Version)
 	}
 	if s.OnActivate != nil {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -23,8 +23,8 @@
 store=internal/rollout/store.go
 mutant rollout-monotone $store "s/if config\.MarkOf\(h\.Version, h\.Accepted\) <= s\.active\.Mark\(\) \{/if h.Version < 0 {/; s/if config\.MarkOf\(h\.Version, h\.Accepted\) <= s\.Mark\(\) \{/if h.Version < 0 {/" internal/rollout TestVersionNever
 mutant rollout-base internal/rollout/coordinator.go "s/if h\.Version != ch\.Base \{/if false {/" internal/rollout TestChangeFromAnOlder
-mutant rollout-settle internal/rollout/coordinator.go "s/if out, done := c\.settleCommit\(ctx, next\); !done \{\n\t\t\treturn out\n\t\t\}/return refused(next.Version, \"lost\")/" internal/rollout "TestLostReply"
-mutant rollout-confirm internal/rollout/coordinator.go "s/if len\(missing\) > 0 \{\n\t\treturn Outcome\{state: Committed/if len(missing) > 99 {\n\t\treturn Outcome{state: Committed/" internal/rollout TestZoneCutBetween
+mutant rollout-settle internal/rollout/coordinator.go "s/if out, done := c\.resolveUnknownCommit\(ctx, next\); !done \{\n\t\t\treturn out\n\t\t\}/return refused(next.Version, \"lost\")/" internal/rollout "TestLostReply"
+mutant rollout-confirm internal/rollout/coordinator.go "s/if len\(missing\) > 0 \{\n\t\treturn Outcome\{state: Committed/if len(missing) > 99 {\n\t\treturn Outcome{state: Committed/" internal/rollout TestChangeUnconfirmed
 mutant sidecar-behind internal/sidecar/server.go "s/if v <= s\.active\(\)\.Version\(\) \{/if v > -1 {/" internal/sidecar TestOlderConfiguration
 
 gateway=internal/gateway
@@ -323,12 +323,12 @@
 mutant behind-kept internal/belief/routes.go 's/r\.olderRow, r\.older = rec\.Version, true/r.olderRow = rec.Version/' internal/belief TestEntryThatStartsAfterAReturn
 
 mutant leaving-unread internal/fleet/starts.go 's/\t\tm\.avoid = s\.now\(\)\.Add\(recordWithin\)\n//' internal/fleet TestLeaveSaidBefore
-mutant head-ahead $store 's/own\.Version > h\.Version \|\| //' internal/rollout TestProcessesDisagreed
-mutant head-accepted $store 's/ \|\| own\.Change == h\.Change && own\.Accepted && !h\.Accepted//' internal/rollout TestMarkOfTheHead
-mutant head-version $store 's/p\.Version != 0 && p\.Version <= inForce/false/' internal/rollout TestRestoreBeside
-mutant head-change $store 's/another := [^\n]*/another := false/' internal/rollout TestRestoreBeside
-mutant head-content internal/rollout/restore.go 's/return c\.putObject\(ctx, cfg\.Hash\(\), cfg\.Canonical\(\)\)/return nil/' internal/rollout TestMarkOfTheHead
-mutant head-value internal/rollout/coordinator.go 's/, Was: before\.Value\}, nil/}, nil/' internal/rollout TestRevisionGivenOutAgain
+mutant head-ahead $store 's/own\.Version > h\.Version \|\| //' internal/rollout TestProcessesAgree
+mutant head-accepted $store 's/ \|\| own\.Change == h\.Change && own\.Accepted && !h\.Accepted//' internal/rollout TestAcceptedMark
+mutant head-version $store 's/p\.Version != 0 && p\.Version <= inForce/false/' internal/rollout TestRestoreWith
+mutant head-change $store 's/otherChange := [^\n]*/otherChange := false/' internal/rollout TestRestoreWith
+mutant head-content internal/rollout/restore.go 's/return c\.putObject\(ctx, cfg\.Hash\(\), cfg\.Canonical\(\)\)/return nil/' internal/rollout TestAcceptedMark
+mutant head-value internal/rollout/coordinator.go 's/, Was: before\.Value\}, nil/}, nil/' internal/rollout TestReusedRevision
 mutant lease-known internal/lease/lease.go 's/if stored\.Fence >= l\.fence \{/if true {/' internal/lease TestHolderAfter
 mutant lease-first internal/lease/lease.go 's/l\.first = before == 0 && l\.fence == 0/l.first = before == 0/' internal/lease TestLapsedHolder
 mutant lease-lapsed internal/lease/lease.go 's/if now\.Before\(l\.until\) \{/if true {/' internal/lease TestLapsedHolder
