--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -96,7 +96,7 @@
 // limit. Nothing read it. Here one entry sent 53 requests in 2 s where 11 are allowed.
 //
 // Read by each entry for itself it would be kept by one entry and broken by several: see
-// TestUpstreamsGetWhatTheyTakeFromAllEntries in platform/soak.
+// TestRateLimitHoldsForAllGatewaysTogether in platform/soak.
 func TestUpstreamGetsWhatItTakes(t *testing.T) {
 	f := newFixture(t)
 	limited := &limitedUpstream{rate: 2}
