--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -95,27 +95,27 @@
 mutant fleet-released internal/fleet/set.go 's/\ts\.release\(m\)\n//' internal/fleet TestUnreadable
 
 rows=platform/fields.go
-mutant rows-name $rows 's/if row == "" \{/if false {/' platform TestRowsThatAreNoRows
-mutant rows-bytes $rows 's/if !utf8\.Valid\(value\) \{/if !utf8.Valid(nil) {/' platform TestRowsThatAreNoRows
+mutant rows-name $rows 's/if row == "" \{/if false {/' platform TestDecodeUpstreamRejectsMalformedRows
+mutant rows-bytes $rows 's/if !utf8\.Valid\(value\) \{/if !utf8.Valid(nil) {/' platform TestDecodeUpstreamRejectsMalformedRows
 mutant rows-told internal/events/excerpt.go 's/if len\(text\) <= most \{/if len(text) >= 0 {/' internal/events TestExcerpt
-mutant rows-missing $rows 's/\t\tf\.fail\(reasonMissing, "%s is missing", name\)\n//' platform TestRowsOfOtherWriters
-mutant rows-null $rows 's/string\(raw\) == "null" \|\| //' platform TestRowsOfOtherWriters
-mutant rows-empty $rows 's/if f\.read\(name, &s\) && s == "" \{/if f.read(name, \&s) \&\& s == "\\x00" {/' platform TestRowsOfOtherWriters
-mutant rows-whole $rows 's/n != math\.Trunc\(n\) \|\| n < 0/math.Trunc(0) != 0 || n < 0/' platform TestRowsOfOtherWriters
-mutant rows-negative $rows 's/ \|\| n < 0 \|\|/ ||/' platform TestRowsOfOtherWriters
-mutant rows-most $rows 's/ \|\| n > float64\(most\) \{/ {/' platform TestRowsOfOtherWriters
-mutant rows-address $rows 's/a\.Port\(\) == 0 \|\| //' platform TestRowsOfOtherWriters
-mutant rows-host $rows 's/ \|\| a\.Addr\(\)\.IsUnspecified\(\)//' platform TestRowsOfOtherWriters
-mutant rows-version $rows 's/case string, float64:/case string, float64, bool:/' platform TestRowsOfOtherWriters
-mutant rows-state platform/upstreams.go 's/f\.oneOf\("state", stateReady, stateDraining\)/f.text("state")/' platform TestRowsOfOtherWriters
-mutant rows-cold platform/upstreams.go 's/if cold > mostColdMS \{/if false {/' platform TestRowsOfOtherWriters
-mutant rows-no-longer-cold platform/routes.go 's/min\(max\(v, 0\), /min(v, /' platform TestRowsOfRightWriters
-mutant routes-kind-told platform/routes.go 's/is not known", told\(r\.RouteType\)/is not known", r.RouteType/' platform TestRoutesThatCannotBeUsed
-mutant times-bounded platform/routes.go 's/\tv = min\(max\(v, 0\), float64\(longest\/time\.Millisecond\)\)\n//' platform TestMilliseconds
-mutant rows-each platform/store.go 's/\t\tp\.Value, p\.Gone = nil, false\n/\t\treturn err\n/' platform TestBadRowInAnAnswer
-mutant rows-no-value platform/store.go 's/\t\tp\.Value, p\.Gone = nil, false\n/\t\tp.Gone = false\n/' platform TestBadRowInAnAnswer
-mutant rows-advance platform/store.go 's/if next <= from \{/if next < from {/' platform TestPagesThatDoNotAdvance
-mutant rows-last-name platform/store.go 's/if r\.Key != "" \{/if r.Ver >= 0 {/' platform TestPageWhoseLastRow
+mutant rows-missing $rows 's/\t\tf\.fail\(reasonMissing, "%s is missing", name\)\n//' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-null $rows 's/string\(raw\) == "null" \|\| //' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-empty $rows 's/if f\.read\(name, &s\) && s == "" \{/if f.read(name, \&s) \&\& s == "\\x00" {/' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-whole $rows 's/n != math\.Trunc\(n\) \|\| n < 0/math.Trunc(0) != 0 || n < 0/' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-negative $rows 's/ \|\| n < 0 \|\|/ ||/' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-most $rows 's/ \|\| n > float64\(most\) \{/ {/' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-address $rows 's/a\.Port\(\) == 0 \|\| //' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-host $rows 's/ \|\| a\.Addr\(\)\.IsUnspecified\(\)//' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-version $rows 's/case string, float64:/case string, float64, bool:/' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-state platform/upstreams.go 's/f\.oneOf\("state", stateReady, stateDraining\)/f.nonEmptyString("state")/' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-cold platform/upstreams.go 's/if cold > maxColdMS \{/if false {/' platform TestDecodeUpstreamRejectsInvalidFields
+mutant rows-no-longer-cold platform/routes.go 's/min\(max\(v, 0\), /min(v, /' platform TestDecodeUpstreamAcceptsValidRows
+mutant routes-kind-told platform/routes.go 's/is not known", excerpt\(r\.RouteType\)/is not known", r.RouteType/' platform TestDecodeRoutesRejectsInvalidConfig
+mutant times-bounded platform/routes.go 's/\tv = min\(max\(v, 0\), float64\(maxDuration\/time\.Millisecond\)\)\n//' platform TestMilliseconds
+mutant rows-each platform/store.go 's/\t\tp\.Value, p\.Gone = nil, false\n/\t\treturn err\n/' platform TestUnreadableRowLeavesOtherRows
+mutant rows-no-value platform/store.go 's/\t\tp\.Value, p\.Gone = nil, false\n/\t\tp.Gone = false\n/' platform TestUnreadableRowLeavesOtherRows
+mutant rows-advance platform/store.go 's/if next <= from \{/if next < from {/' platform TestListFailsWhenPagesDoNotAdvance
+mutant rows-last-name platform/store.go 's/if r\.Key != "" \{/if r.Ver >= 0 {/' platform TestListContinuesAfterPageWhoseLastRow
 mutant bad-rows-there internal/daemon/upstreamrows.go 's/\t\t\tunreadable = append\(unreadable, row\.Name\)\n//' internal/daemon TestBadRowsAmong
 mutant bad-rows-once internal/daemon/badrows.go 's/if known && old\.version == row\.Version \{/if known \&\& old.version < 0 {/' internal/daemon TestBadRowsAreTold
 mutant bad-rows-versions internal/daemon/badrows.go 's/if known && old\.version == row\.Version \{/if known \&\& old.version >= 0 {/' internal/daemon TestBadRowsAreTold
@@ -156,8 +156,8 @@
 mutant start-release $gateway/move.go 's/if !g\.there\(held\.at\.ID\) \{/if false {/' $gateway TestCopiesHeldByAnEndedIncarnation
 mutant start-copies $gateway/continue.go 's/if s\.g\.there\(held\.at\.ID\) \{/if true {/' $gateway TestCopiesHeldByAnEndedIncarnation
 mutant start-wire-name $gateway/request.go 's/Upstream: u\.Name,/Upstream: u.ID,/' $gateway TestCallsToAnEndedIncarnation
-mutant start-row platform/upstreams.go 's/Born: f\.born\(\), //' platform TestBirthInARow
-mutant start-reported platform/engine.go 's/\t\tBorn:    r\.Born,\n//' platform TestBirthInAReport
+mutant start-row platform/upstreams.go 's/Born: f\.born\(\), //' platform TestBornFieldOfUpstreamRow
+mutant start-reported platform/engine.go 's/\t\tBorn:    r\.Born,\n//' platform TestBornFieldOfEngineReport
 
 # Requests that end upstreams.
 held=internal/quarantine
@@ -263,7 +263,7 @@
 mutant limits-failure $gateway/limits.go 's/ && h\.whole \{/ {/' $gateway TestWhatEndsALimit
 mutant limits-stop $gateway/stop.go 's/\tg\.limits\.Leave\(\)\n//' $gateway TestStoppingEntryLeavesGranting
 mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationHasAPermit
-mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitInHeaders
+mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitHeaderOfRequestAndResponse
 mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestUpstreamThatSaysWhenToComeBack
 mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.take\(ctx\); !ok \{/if opensAt, ok := s.takes.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsWhatItTakes
 mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.takes\.await\(ctx, s\.permitBy\(p\)\); !ok \{/if opensAt, ok := s.permitBy(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
@@ -311,7 +311,7 @@
 mutant epoch-version internal/belief/follower.go 's/f\.epoch, f\.version = s\.Epoch, s\.Version/f.epoch, f.version = s.Epoch, max(f.version, s.Version)/' internal/belief TestFollowerOfAStoreThatIsRestored
 mutant epoch-older internal/belief/follower.go 's/case s\.Epoch != 0 && s\.Epoch < f\.epoch:/case false:/' internal/belief TestOnlyReadEpochsConfirm
 mutant epoch-again internal/belief/follower.go 's/\t\tf\.listAt = f\.settled\n//' internal/belief TestTableIsReadOnceMore
-mutant epoch-pages platform/store.go 's/if rows\.epoch != out\.Epoch \{/if false {/' platform TestReturnBetweenTwoPages
+mutant epoch-pages platform/store.go 's/if rows\.epoch != out\.Epoch \{/if false {/' platform TestListFailsWhenStoreIsRestoredBetweenPages
 mutant epoch-log internal/relay/log.go 's/\tif known \{\n\t\tt\.rows/\tif known \&\& false {\n\t\tt.rows/' internal/relay TestEpochsBesideAnEarlierRelease
 mutant epoch-asker internal/relay/log.go 's/case !t\.comparable\(epoch\):/case false \&\& !t.comparable(epoch):/' internal/relay TestEpochsBesideAnEarlierRelease
 mutant epoch-unstated internal/relay/log.go 's/case epoch == 0 && t\.returned:/case false:/' internal/relay TestEpochsBesideAnEarlierRelease
