--- a/internal/platform/count.go
+++ b/internal/platform/count.go
@@ -6,14 +6,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Count wraps the function fields of the platform's clients so that every call
-// is counted, by kind and result.
+// Count wraps the function fields of the platform's clients to count their calls by kind and result in
+// the metrics of reg.
 func Count(t *Table, o *Objects, v *VMs, reg prometheus.Registerer) {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "sparshore_platform_calls_total", Help: "Calls to the platform's services.",
 	}, []string{"call", "result"})
 	reg.MustRegister(calls)
-	note := func(call string, err error) {
+	countCall := func(call string, err error) {
 		result := "ok"
 		if err != nil {
 			result = "error"
@@ -23,34 +23,34 @@
 	get, list, commit := t.Get, t.List, t.Commit
 	t.Get = func(ctx context.Context, k Key) (Row, error) {
 		r, err := get(ctx, k)
-		note("table-get", err)
+		countCall("table-get", err)
 		return r, err
 	}
 	t.List = func(ctx context.Context, group string) ([]Row, error) {
 		r, err := list(ctx, group)
-		note("table-list", err)
+		countCall("table-list", err)
 		return r, err
 	}
 	t.Commit = func(ctx context.Context, writes ...Write) error {
 		err := commit(ctx, writes...)
-		note("table-commit", err)
+		countCall("table-commit", err)
 		return err
 	}
 	put, fetch := o.Put, o.Get
 	o.Put = func(ctx context.Context, name string, content []byte) error {
 		err := put(ctx, name, content)
-		note("object-put", err)
+		countCall("object-put", err)
 		return err
 	}
 	o.Get = func(ctx context.Context, name string) ([]byte, error) {
 		b, err := fetch(ctx, name)
-		note("object-get", err)
+		countCall("object-get", err)
 		return b, err
 	}
 	vms := v.List
 	v.List = func(ctx context.Context) ([]VM, error) {
 		l, err := vms(ctx)
-		note("vm-list", err)
+		countCall("vm-list", err)
 		return l, err
 	}
 }
--- a/internal/platform/objects.go
+++ b/internal/platform/objects.go
@@ -14,19 +14,19 @@
 	"github.com/aws/aws-sdk-go-v2/service/s3/types"
 )
 
-// maxObject bounds what is read from one object.
-const maxObject = 64 << 20
+// maxObjectBytes limits how much of an object is read.
+const maxObjectBytes = 64 << 20
 
-// Objects is the object store.
+// Objects is a client of the object store.
 type Objects struct {
-	// Put stores content under a name; the same name always holds the same
-	// content, so a repeated Put is harmless.
+	// Put stores content under a name. A name always holds the same content, so a repeated Put
+	// is harmless.
 	Put func(ctx context.Context, name string, content []byte) error
-	// Get returns the content or ErrNotFound.
+	// Get returns the content of an object or ErrNotFound.
 	Get func(ctx context.Context, name string) ([]byte, error)
 }
 
-// NewObjects returns the bucket behind an S3 endpoint.
+// NewObjects returns a client of a bucket at an S3 endpoint.
 func NewObjects(endpoint, bucket string, creds Credentials) *Objects {
 	client := s3.New(s3.Options{
 		BaseEndpoint:               aws.String(endpoint),
@@ -69,7 +69,7 @@
 		return nil, fmt.Errorf("%w: get object %s: %v", ErrUnknownOutcome, name, err)
 	}
 	defer func() { _ = out.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(out.Body, maxObject))
+	content, err := io.ReadAll(io.LimitReader(out.Body, maxObjectBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: read object %s: %v", ErrUnknownOutcome, name, err)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -59,7 +59,7 @@
 		t.Fatalf("second writer: %v", err)
 	}
 	if _, err := f.table.Get(ctx, platform.Key{Group: "g", Name: "b"}); !errors.Is(err, platform.ErrNotFound) {
-		t.Errorf("half a transaction took effect: %v", err)
+		t.Errorf("the transaction was applied in part: %v", err)
 	}
 	if err := f.table.Commit(ctx, row("b", 1, "y"), row("a", 2, "z")); err != nil {
 		t.Fatal(err)
@@ -70,19 +70,20 @@
 	}
 }
 
-// Of two rows at one revision, as a table has before and after it was restored, a write is meant for one.
-func TestCommitOverTheValueThatWasRead(t *testing.T) {
+// A table that was restored assigns revisions again, so that a row can have the expected revision but
+// another value. A write that states the value it replaces must then conflict.
+func TestCommitChecksExpectedValue(t *testing.T) {
 	f := start(t)
 	for _, tc := range []struct {
 		name string
 		w    platform.Write
 		want error
 	}{
-		{"the first row", row("a", 1, "x"), nil},
-		{"over another value", platform.Write{Row: row("a", 2, "z").Row, Was: []byte("y")}, platform.ErrConflict},
-		{"over the value", platform.Write{Row: row("a", 2, "z").Row, Was: []byte("x")}, nil},
-		{"over any value", row("a", 3, "w"), nil},
-		{"over another revision", platform.Write{Row: row("a", 3, "v").Row, Was: []byte("w")}, platform.ErrConflict},
+		{"a new row", row("a", 1, "x"), nil},
+		{"another value", platform.Write{Row: row("a", 2, "z").Row, Was: []byte("y")}, platform.ErrConflict},
+		{"the same value", platform.Write{Row: row("a", 2, "z").Row, Was: []byte("x")}, nil},
+		{"no expected value", row("a", 3, "w"), nil},
+		{"another revision", platform.Write{Row: row("a", 3, "v").Row, Was: []byte("w")}, platform.ErrConflict},
 	} {
 		if err := f.table.Commit(t.Context(), tc.w); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
@@ -90,7 +91,7 @@
 	}
 }
 
-func TestLostReplyLeavesTheOutcomeUnknownButTheWriteDone(t *testing.T) {
+func TestCommitWithLostReplyHasUnknownOutcome(t *testing.T) {
 	f := start(t)
 	f.control(t, "/control/faults", `{"lose_replies": 1}`)
 	if err := f.table.Commit(t.Context(), row("a", 1, "x")); !errors.Is(err, platform.ErrUnknownOutcome) {
@@ -101,7 +102,7 @@
 	}
 }
 
-func TestOutageIsUnknownOutcome(t *testing.T) {
+func TestOutageGivesUnknownOutcome(t *testing.T) {
 	f := start(t)
 	f.control(t, "/control/faults", `{"outage": true}`)
 	if _, err := f.table.Get(t.Context(), platform.Key{Group: "g", Name: "a"}); !errors.Is(err, platform.ErrUnknownOutcome) {
@@ -125,7 +126,7 @@
 	}
 }
 
-func TestVMListLags(t *testing.T) {
+func TestVMListMayBeOutdated(t *testing.T) {
 	f := start(t)
 	f.control(t, "/control/vms", `{"name":"v","zone":"a","address":"127.0.0.1:1","state":"live"}`)
 	f.control(t, "/control/faults", `{"vm_lag_ms": 3600000}`)
@@ -138,7 +139,7 @@
 	}
 }
 
-func TestUnchangedVMListIsNotSentAgainAndAChangedOneIs(t *testing.T) {
+func TestChangedVMListReplacesCachedOne(t *testing.T) {
 	f := start(t)
 	for _, state := range []platform.VMState{platform.VMLive, platform.VMLive, platform.VMLeaving} {
 		f.control(t, "/control/vms", `{"name":"v","zone":"a","address":"127.0.0.1:1","state":"`+string(state)+`"}`)
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// ErrHistoryGone is wrapped when the store no longer has the changes since a
-// version: the table must be read anew.
-var ErrHistoryGone = errors.New("the store has dropped its history")
+// ErrHistoryGone is wrapped when the store no longer has the changes since a version. The caller has
+// to read the whole table again.
+var ErrHistoryGone = errors.New("store no longer has the changes since this version")
 
-// ErrRestored is wrapped when the store was restored from an older copy of itself in the middle of a
-// read: what was read is of no one moment.
-var ErrRestored = errors.New("the store was restored from a copy during the read")
+// ErrRestored is wrapped when the store was restored from a backup during a read. The rows that were
+// read do not belong to a single state of the table.
+var ErrRestored = errors.New("store was restored from a backup during the read")
 
-// ErrUnavailable is wrapped when the store refused a call and did nothing.
-var ErrUnavailable = errors.New("the store refused the call")
+// ErrUnavailable is wrapped when the store refused a call without executing it.
+var ErrUnavailable = errors.New("store refused the call")
 
-// Record is one row of a table followed by its changes.
+// Record is one row of a table or a change of one.
 type Record struct {
 	Name    string
 	Version int64
 	Value   []byte
-	// Gone marks a row that was removed.
+	// Gone marks a row that has been removed.
 	Gone bool
 }
 
-// Snapshot is what the store answered about a table.
+// Snapshot is the store's response to a read of a table or of its changes.
 type Snapshot struct {
 	Records []Record
-	// Version is the store's newest version at the time of the answer. Versions of different
-	// epochs say nothing of each other.
+	// Version is the store's newest version at the time of the response. Versions of different
+	// epochs cannot be compared.
 	Version int64
-	// Epoch rises each time the store is restored from an older copy of itself, when versions go
-	// back and are given out again; 0 if the store does not state it.
+	// Epoch increases each time the store is restored from a backup. Versions then go back and
+	// are assigned again. It is 0 if the store does not state it.
 	Epoch int64
-	// Clock is the store's steady clock at the time of the answer.
+	// Clock is the reading of the store's monotonic clock at the time of the response.
 	Clock time.Duration
-	// Restored marks the first whole table of a later epoch: its rows may be older than what is
-	// known of them, some may be missing, and both may be written again. A Follower sets it.
+	// Restored marks the first whole table of a later epoch, and is set by a Follower. Its rows
+	// may be older than the ones read before and some may be missing. Writers may write the older
+	// and the missing ones again.
 	Restored bool
-	// Made is a steady time of this process that is not after the moment at
-	// which the answer was the newest; the zero time if none is known.
+	// Made is a monotonic time of this process at which the response was still up to date, or
+	// earlier; the zero time if none is known.
 	Made time.Time
 }
 
-// Store is a store of rows with one version counter whose tables can be
-// followed.
+// Store is a client of a store whose tables share one version counter and can be followed.
 type Store struct {
 	// List returns all rows of a table.
 	List func(ctx context.Context, table string) (Snapshot, error)
-	// Changes returns the rows changed after a version as soon as there are
-	// any, or none after wait. ErrHistoryGone asks for a List.
+	// Changes waits for rows that change after a version and returns them, or none after wait.
+	// On ErrHistoryGone the caller has to call List.
 	Changes func(ctx context.Context, table string, after int64, wait time.Duration) (Snapshot, error)
-	// Put writes a row whatever it holds.
+	// Put writes a row, whatever it held before.
 	Put func(ctx context.Context, table, name string, value []byte) error
-	// Remove takes rows away, whether they are there or not.
+	// Remove removes rows; rows that do not exist are no error.
 	Remove func(ctx context.Context, table string, names ...string) error
 }
--- a/internal/platform/table.go
+++ b/internal/platform/table.go
@@ -1,7 +1,7 @@
-// Package platform reaches the platform's services by their published
-// protocols: the table service (DynamoDB API), the object store (S3 API) and
-// the list of VMs (HTTP and JSON). Each is a concrete type whose function
-// fields are the seams at which tests put small fakes.
+// Package platform holds the clients of the platform's services: the table service (DynamoDB API),
+// the object store (S3 API) and the list of VMs (HTTP and JSON). It also defines the Store that the
+// entries follow, which a deployment implements. Each client is a struct of functions, which tests
+// replace with fakes.
 package platform
 
 import (
@@ -18,46 +18,43 @@
 	"github.com/aws/aws-sdk-go-v2/service/dynamodb/types"
 )
 
-// ErrConflict is returned when a row is not at the expected revision: nothing
-// was written.
+// ErrConflict is returned when a row does not have the expected revision or value. Nothing was written.
 var ErrConflict = errors.New("row is at another revision")
 
-// ErrNotFound is returned when there is no such row or object.
+// ErrNotFound is returned when a row or object does not exist.
 var ErrNotFound = errors.New("not found")
 
-// ErrUnknownOutcome is returned when a call failed in a way that leaves open
-// whether it took effect.
+// ErrUnknownOutcome is returned when a call failed and may or may not have taken effect.
 var ErrUnknownOutcome = errors.New("platform call failed, outcome unknown")
 
-// Key names a row: the group can be listed.
+// Key identifies a row; the rows of a group can be listed.
 type Key struct {
 	Group string
 	Name  string
 }
 
-// Row is a stored value with its revision; a row that is not there has
-// revision 0.
+// Row is a stored value with its revision. A row that does not exist has revision 0.
 type Row struct {
 	Key      Key
 	Revision int64
 	Value    []byte
 }
 
-// Write is one conditional write: Row.Revision is the revision after it, and
-// the row must be at Row.Revision-1 before. If Was is set the row must hold that
-// value, too: a table that was restored from a copy gives revisions out again.
+// Write is a conditional write. Row.Revision is the revision after the write, so the stored row must
+// have the revision before it. If Was is set, the stored row must also have that value, as a table
+// that was restored from a backup assigns revisions again.
 type Write struct {
 	Row Row
 	Was []byte
 }
 
-// Table is the transactional table service.
+// Table is a client of the transactional table service.
 type Table struct {
 	// Get returns a row or ErrNotFound.
 	Get func(ctx context.Context, k Key) (Row, error)
-	// List returns the rows of a group, by name.
+	// List returns the rows of a group, ordered by name.
 	List func(ctx context.Context, group string) ([]Row, error)
-	// Commit does all writes or none; ErrConflict means none.
+	// Commit applies all writes or none. On ErrConflict it has applied none.
 	Commit func(ctx context.Context, writes ...Write) error
 }
 
@@ -67,19 +64,19 @@
 	attrRevision = "rev"
 	attrValue    = "val"
 	callTimeout  = 2 * time.Second
-	// callAttempts is 1 because a repeated write would hide a lost reply: the
-	// callers read again before they say anything.
+	// callAttempts is 1 because a retry would hide a lost reply: the retried write conflicts with
+	// the first one that succeeded. Callers read the row again instead.
 	callAttempts = 1
 	region       = "local"
 )
 
-// Credentials sign the calls to the table and object stores.
+// Credentials sign the calls to the table service and the object store.
 type Credentials struct {
 	Key    string
 	Secret string
 }
 
-// NewTable returns the table called name behind a DynamoDB endpoint.
+// NewTable returns a client of the named table at a DynamoDB endpoint.
 func NewTable(endpoint, name string, creds Credentials) *Table {
 	client := dynamodb.New(dynamodb.Options{
 		BaseEndpoint:     aws.String(endpoint),
@@ -109,7 +106,7 @@
 	if len(out.Item) == 0 {
 		return Row{}, fmt.Errorf("%w: row %s/%s", ErrNotFound, k.Group, k.Name)
 	}
-	return rowOf(out.Item)
+	return decodeRow(out.Item)
 }
 
 func (d *dynamo) list(ctx context.Context, group string) ([]Row, error) {
@@ -126,7 +123,7 @@
 			return nil, fmt.Errorf("%w: list %s: %v", ErrUnknownOutcome, group, err)
 		}
 		for _, item := range page.Items {
-			r, err := rowOf(item)
+			r, err := decodeRow(item)
 			if err != nil {
 				return nil, err
 			}
@@ -156,7 +153,7 @@
 func (d *dynamo) put(w Write) *types.Put {
 	r := w.Row
 	item := keyItem(r.Key)
-	item[attrRevision] = number(r.Revision)
+	item[attrRevision] = numberValue(r.Revision)
 	item[attrValue] = &types.AttributeValueMemberB{Value: r.Value}
 	p := &types.Put{TableName: aws.String(d.table), Item: item}
 	if r.Revision == 1 {
@@ -164,7 +161,7 @@
 		return p
 	}
 	p.ConditionExpression = aws.String(attrRevision + " = :r")
-	p.ExpressionAttributeValues = map[string]types.AttributeValue{":r": number(r.Revision - 1)}
+	p.ExpressionAttributeValues = map[string]types.AttributeValue{":r": numberValue(r.Revision - 1)}
 	if w.Was != nil {
 		p.ConditionExpression = aws.String(attrRevision + " = :r AND " + attrValue + " = :v")
 		p.ExpressionAttributeValues[":v"] = &types.AttributeValueMemberB{Value: w.Was}
@@ -179,14 +176,14 @@
 	}
 }
 
-func number(n int64) types.AttributeValue {
+func numberValue(n int64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatInt(n, 10)}
 }
 
-// errBadRow is wrapped when a stored row has not the form this package writes.
+// errBadRow is wrapped when a stored row does not have the attributes that this package writes.
 var errBadRow = errors.New("malformed row")
 
-func rowOf(item map[string]types.AttributeValue) (Row, error) {
+func decodeRow(item map[string]types.AttributeValue) (Row, error) {
 	group, ok1 := item[attrGroup].(*types.AttributeValueMemberS)
 	name, ok2 := item[attrName].(*types.AttributeValueMemberS)
 	revision, ok3 := item[attrRevision].(*types.AttributeValueMemberN)
--- a/internal/platform/vms.go
+++ b/internal/platform/vms.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// VMState is the platform's word on a VM.
+// VMState is the state of a VM according to the platform.
 type VMState string
 
 // The states of a VM in the list.
@@ -31,19 +31,19 @@
 	return VM{name: name, zone: zone, address: address, state: state}
 }
 
-// Name returns the VM's name.
+// Name returns the name of the VM.
 func (v VM) Name() string { return v.name }
 
-// Zone returns the availability zone.
+// Zone returns the VM's availability zone.
 func (v VM) Zone() string { return v.zone }
 
-// Address returns where the system's process on the VM listens for peers.
+// Address returns the address at which the system's process on the VM accepts peer connections.
 func (v VM) Address() string { return v.address }
 
-// Leaving reports whether the platform will take the VM away.
+// Leaving reports whether the platform is about to remove the VM.
 func (v VM) Leaving() bool { return v.state == VMLeaving }
 
-// VMs is the platform's lagging list of VMs.
+// VMs is a client of the platform's VM list, which lags behind the actual state.
 type VMs struct {
 	// List returns the VMs as the platform last saw them.
 	List func(ctx context.Context) ([]VM, error)
@@ -60,14 +60,13 @@
 	VMs []vmRow `json:"vms"`
 }
 
-// NewVMs returns the list served at endpoint.
+// NewVMs returns a client of the VM list at endpoint.
 func NewVMs(endpoint string) *VMs {
 	c := &vmClient{client: &http.Client{Timeout: callTimeout}, url: strings.TrimSuffix(endpoint, "/") + "/v1/vms"}
 	return &VMs{List: c.list}
 }
 
-// vmClient remembers the last list: while it is unchanged a read moves a few
-// headers and not a row for each VM.
+// vmClient caches the last list and its ETag, so that reading an unchanged list transfers no rows.
 type vmClient struct {
 	client *http.Client
 	url    string
