--- a/internal/ctl/api.go
+++ b/internal/ctl/api.go
@@ -11,31 +11,35 @@
 	"time"
 )
 
-// errAPI is wrapped by errors that the administration API answered.
+// errAPI is wrapped by errors of calls to the administration API, including calls that get no
+// response.
 var errAPI = errors.New("administration API")
 
-// api speaks the administration API of an entry.
+// api is a client of the administration API of an entry or gateway.
 type api struct {
 	base   string
 	token  string
 	client *http.Client
 }
 
-// apiTimeout is longer than a change may take.
+// apiTimeout exceeds the longest time that a configuration change takes, so that a command learns
+// its outcome.
 const apiTimeout = 40 * time.Second
 
 func newAPI(server, token string) *api {
 	return &api{base: strings.TrimSuffix(server, "/") + "/admin/v1", token: token, client: &http.Client{Timeout: apiTimeout}}
 }
 
-type apiFault struct {
+// apiError is the body of an error response.
+type apiError struct {
 	Error struct {
 		Message string `json:"message"`
 	} `json:"error"`
 }
 
-// call sends in, if not nil, and decodes the answer into out. Answers with a
-// status from 400 on are errors, except 409, which carries a result.
+// call sends a request with in as its JSON body, if in is not nil, and decodes the response into
+// out. Status codes from 400 are errors, except 409, which carries the outcome of a refused
+// change.
 func (a *api) call(method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -60,9 +64,9 @@
 		return fmt.Errorf("%w: %v", errAPI, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest && resp.StatusCode != http.StatusConflict {
-		var f apiFault
-		_ = json.Unmarshal(b, &f)
-		return fmt.Errorf("%w: status %d: %s", errAPI, resp.StatusCode, f.Error.Message)
+		var failure apiError
+		_ = json.Unmarshal(b, &failure)
+		return fmt.Errorf("%w: status %d: %s", errAPI, resp.StatusCode, failure.Error.Message)
 	}
 	if out == nil {
 		return nil
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -7,7 +7,7 @@
 }
 
 func (c *changeCommand) run(env *environment) error {
-	var out outcomeBody
+	var out changeOutcome
 	if err := env.api.call(http.MethodGet, "/changes/"+c.ID, nil, &out); err != nil {
 		return err
 	}
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -13,13 +13,13 @@
 )
 
 type configCommand struct {
-	Check *configCheckCommand `arg:"subcommand:check" help:"check a file without sending it"`
-	Apply *configApplyCommand `arg:"subcommand:apply" help:"bring a file into force everywhere, or be refused"`
-	Show  *configShowCommand  `arg:"subcommand:show" help:"print what is in force"`
-	Diff  *configDiffCommand  `arg:"subcommand:diff" help:"compare a file with what is in force"`
+	Check *configCheckCommand `arg:"subcommand:check" help:"validate a configuration file locally"`
+	Apply *configApplyCommand `arg:"subcommand:apply" help:"put a configuration file in force in all processes, or in none"`
+	Show  *configShowCommand  `arg:"subcommand:show" help:"print the configuration in force"`
+	Diff  *configDiffCommand  `arg:"subcommand:diff" help:"compare a file with the configuration in force"`
 }
 
-// errSubcommand is returned when a command needs one of its subcommands.
+// errSubcommand is returned by commands that need a subcommand and got none.
 var errSubcommand = errors.New("a subcommand is needed; see --help")
 
 func (*configCommand) run(*environment) error { return errSubcommand }
@@ -37,6 +37,7 @@
 	return err
 }
 
+// readConfig reads and validates a configuration file and compiles its policies.
 func readConfig(env *environment, file string) (*config.Config, error) {
 	source, err := env.readFile(file)
 	if err != nil {
@@ -52,14 +53,15 @@
 	return c, nil
 }
 
-type configBody struct {
+type configResponse struct {
 	Version int64  `json:"version"`
 	Hash    string `json:"hash"`
 	Source  string `json:"source"`
 }
 
-func current(env *environment) (configBody, error) {
-	var b configBody
+// fetchConfig returns the configuration in force.
+func fetchConfig(env *environment) (configResponse, error) {
+	var b configResponse
 	err := env.api.call(http.MethodGet, "/config", nil, &b)
 	return b, err
 }
@@ -67,7 +69,7 @@
 type configShowCommand struct{}
 
 func (*configShowCommand) run(env *environment) error {
-	b, err := current(env)
+	b, err := fetchConfig(env)
 	if err != nil {
 		return err
 	}
@@ -87,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := current(env)
+	b, err := fetchConfig(env)
 	if err != nil {
 		return err
 	}
@@ -99,8 +101,8 @@
 	return nil
 }
 
-// diffLines returns the lines only in a, with "-", and only in b, with "+", in
-// order, by the longest common subsequence.
+// diffLines returns the lines that are only in a, prefixed with "-", and the lines that are only
+// in b, prefixed with "+". Lines of the longest common subsequence are omitted.
 func diffLines(a, b []string) []string {
 	common := make([][]int, len(a)+1)
 	for i := range common {
@@ -134,17 +136,17 @@
 
 type configApplyCommand struct {
 	File   string `arg:"positional,required" help:"configuration file"`
-	Base   *int64 `arg:"--base" help:"version the change was made from; default is the one in force"`
-	Change string `arg:"--change" help:"identifier of the change; asking again with the same one never applies it twice"`
+	Base   *int64 `arg:"--base" help:"version that the change is based on; default is the version in force"`
+	Change string `arg:"--change" help:"identifier of the change; a repeated command with the same identifier does not apply it twice"`
 }
 
-type applyBody struct {
+type applyRequest struct {
 	Change string `json:"change"`
 	Base   int64  `json:"base"`
 	Source string `json:"source"`
 }
 
-type outcomeBody struct {
+type changeOutcome struct {
 	State   string   `json:"state"`
 	Version int64    `json:"version"`
 	Reasons []string `json:"reasons,omitempty"`
@@ -157,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	in := applyBody{Change: c.Change, Source: string(next.Source())}
+	in := applyRequest{Change: c.Change, Source: string(next.Source())}
 	if in.Change == "" {
 		b := make([]byte, changeIDBytes)
 		_, _ = rand.Read(b)
@@ -166,20 +168,21 @@
 	if c.Base != nil {
 		in.Base = *c.Base
 	} else {
-		b, err := current(env)
+		b, err := fetchConfig(env)
 		if err != nil {
 			return err
 		}
 		in.Base = b.Version
 	}
-	var out outcomeBody
+	var out changeOutcome
 	if err := env.api.call(http.MethodPost, "/config", in, &out); err != nil {
 		return fmt.Errorf("change %s: %w", in.Change, err)
 	}
 	return printOutcome(env, in.Change, out)
 }
 
-func printOutcome(env *environment, change string, out outcomeBody) error {
+// printOutcome prints the outcome of a change and returns an error unless it was accepted.
+func printOutcome(env *environment, change string, out changeOutcome) error {
 	if env.json {
 		if err := env.printJSON(out); err != nil {
 			return err
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -14,20 +14,20 @@
 
 type explainCommand struct {
 	Request string        `arg:"--request,required" help:"identifier of the request"`
-	Around  time.Duration `arg:"--around" default:"5s" help:"also show what the processes that served the request learnt of stores, routes, other entries and its upstreams, from this long before it"`
-	Files   []string      `arg:"positional,required" help:"log files of the processes; what stands before a line's first brace is ignored"`
+	Around  time.Duration `arg:"--around" default:"5s" help:"also show events about stores, routes, other entries and the upstreams of the request, from this long before its first event, in the processes that served it"`
+	Files   []string      `arg:"positional,required" help:"log files of the processes; text before the first brace of a line is ignored"`
 }
 
-// errNoLines is returned when no line tells of the request.
-var errNoLines = errors.New("no line tells of the request")
+// errNoLogLines is returned when no log line contains the request's ID.
+var errNoLogLines = errors.New("no log line mentions the request")
 
 // maxLogLine bounds the length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// logTime is the form of a log line's time.
+// logTime is the time layout of log lines.
 const logTime = "2006-01-02 15:04:05.000000"
 
-// logLine is one line that a process wrote.
+// logLine is an event that a process logged.
 type logLine struct {
 	At      time.Time         `json:"at"`
 	Process string            `json:"process"`
@@ -53,35 +53,38 @@
 		skipped += bad
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.At.Compare(b.At) })
-	story := c.story(lines)
-	if len(story) == 0 {
-		return fmt.Errorf("%w: %s (%d lines read, %d not understood)", errNoLines, c.Request, len(lines), skipped)
+	selected := c.relevantLines(lines)
+	if len(selected) == 0 {
+		return fmt.Errorf("%w: %s (%d lines parsed, %d skipped)", errNoLogLines, c.Request, len(lines), skipped)
 	}
 	if env.json {
-		return env.printJSON(story)
+		return env.printJSON(selected)
 	}
-	rows := make([][]any, 0, len(story))
-	for _, l := range story {
-		rows = append(rows, []any{l.At.Format("15:04:05.000000"), l.Process, l.Event, l.Name, fieldText(l.Fields)})
+	rows := make([][]any, 0, len(selected))
+	for _, l := range selected {
+		rows = append(rows, []any{l.At.Format("15:04:05.000000"), l.Process, l.Event, l.Name, formatFields(l.Fields)})
 	}
 	return env.table("TIME\tPROCESS\tEVENT\tNAME\tFIELDS", rows, "%s\t%s\t%d\t%s\t%s")
 }
 
-// story returns the lines of the request and those that tell what the processes
-// that served it believed at the time, with all that any knew of the same request.
-func (c *explainCommand) story(lines []logLine) []logLine {
-	var own []logLine
+// relevantLines returns the following lines in their given order:
+//   - the lines of the request,
+//   - other lines without a request, between c.Around before its first line and its last line, of
+//     processes that served it, unless they concern an upstream that it did not use,
+//   - lines of any process about its fingerprint, up to its last line.
+func (c *explainCommand) relevantLines(lines []logLine) []logLine {
+	var requestLines []logLine
 	for _, l := range lines {
 		if l.Request == c.Request {
-			own = append(own, l)
+			requestLines = append(requestLines, l)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return nil
 	}
-	first, last := own[0].At.Add(-c.Around), own[len(own)-1].At
+	first, last := requestLines[0].At.Add(-c.Around), requestLines[len(requestLines)-1].At
 	processes, upstreams, fingerprints := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	for _, l := range own {
+	for _, l := range requestLines {
 		processes[l.Process] = true
 		for _, field := range []string{"upstream", "from", "to"} {
 			upstreams[l.Fields[field]] = true
@@ -93,16 +96,16 @@
 			return false
 		}
 		if fingerprint, named := l.Fields["fingerprint"]; named && l.Request == "" {
-			// What ended under the same request may be long ago, and another process saw it.
+			// Crashes under the same fingerprint may have happened long before, at other processes.
 			return !fingerprints[fingerprint] || l.At.After(last)
 		}
-		other := l.Request != "" || !processes[l.Process] || l.At.Before(first) || l.At.After(last)
+		unrelated := l.Request != "" || !processes[l.Process] || l.At.Before(first) || l.At.After(last)
 		upstream, named := l.Fields["upstream"]
-		return other || named && !upstreams[upstream]
+		return unrelated || named && !upstreams[upstream]
 	})
 }
 
-// parseLog reads log lines; it counts those that are none.
+// parseLog returns the events in a log and the number of lines that contain none.
 func parseLog(r io.Reader) (lines []logLine, bad int, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLogLine)
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -12,20 +12,21 @@
 type loadCommand struct {
 	URLs      []string      `arg:"--url,separate,required" help:"entry to send to, on loopback; may be repeated"`
 	Key       string        `arg:"--key,env:SPARSHORE_KEY" help:"client API key"`
-	Model     string        `arg:"--model,required" help:"model to ask for"`
+	Model     string        `arg:"--model,required" help:"model to request"`
 	Requests  int           `arg:"--requests" default:"100" help:"number of requests"`
-	Rate      float64       `arg:"--rate" default:"10" help:"requests started a second"`
+	Rate      float64       `arg:"--rate" default:"10" help:"requests started per second"`
 	Seed      uint64        `arg:"--seed" default:"1" help:"seed of arrivals and lengths"`
 	Prompt    int           `arg:"--prompt" default:"64" help:"prompt tokens"`
 	Output    float64       `arg:"--output-tokens" default:"60" help:"median of output tokens"`
 	Spread    float64       `arg:"--spread" default:"1" help:"standard deviation of the logarithm of output tokens"`
-	MaxOutput int           `arg:"--max-output" default:"4096" help:"most output tokens of a request"`
-	Resume    bool          `arg:"--resume" help:"go on with broken streams through the next entry"`
+	MaxOutput int           `arg:"--max-output" default:"4096" help:"maximum output tokens of a request"`
+	Resume    bool          `arg:"--resume" help:"resume broken streams at the next entry"`
 	Within    time.Duration `arg:"--within" default:"2m" help:"time limit of one request"`
 }
 
-// errBreach is returned when a stream broke a promise.
-var errBreach = errors.New("streams broke a promise")
+// errBreach is returned when a stream repeated, omitted or reordered tokens, or contained tokens of
+// another generation.
+var errBreach = errors.New("streams breached their guarantees")
 
 func (c *loadCommand) run(env *environment) error {
 	r, err := loadgen.Run(context.Background(), loadgen.Options{
--- a/internal/ctl/main.go
+++ b/internal/ctl/main.go
@@ -1,4 +1,6 @@
-// Package ctl holds the commands of sparshorectl, one file each.
+// Package ctl implements the commands of sparshorectl, one per file. Most commands call the
+// administration API of an entry or gateway. The others work on local files, except load, which
+// sends requests to loopback addresses.
 package ctl
 
 import (
@@ -13,28 +15,28 @@
 	"github.com/sparshore/sparshore/internal/version"
 )
 
-// The exit codes beyond those of all programs.
+// The exit codes in addition to those of internal/commandline.
 const (
 	exitRefused = 3
 	exitPending = 4
 )
 
-// errRefused is wrapped when a change was refused.
+// errRefused is wrapped by the error for a refused change.
 var errRefused = errors.New("refused")
 
-// errPending is wrapped when a change is committed and not in force everywhere.
+// errPending is wrapped by the error for a committed change that is not yet in force everywhere.
 var errPending = errors.New("not in force everywhere yet")
 
 type arguments struct {
 	Config     *configCommand     `arg:"subcommand:config" help:"check, apply, show or compare configurations"`
 	Policy     *policyCommand     `arg:"subcommand:policy" help:"check policies, or explain them on sample requests"`
-	Status     *statusCommand     `arg:"subcommand:status" help:"show all processes and what is in force"`
-	Zone       *zoneCommand       `arg:"subcommand:zone" help:"show zones"`
-	Drain      *drainCommand      `arg:"subcommand:drain" help:"give an upstream no new work"`
-	Quarantine *quarantineCommand `arg:"subcommand:quarantine" help:"show and lift what keeps requests that crash upstreams from them"`
+	Status     *statusCommand     `arg:"subcommand:status" help:"show all processes and the configuration version in force"`
+	Zone       *zoneCommand       `arg:"subcommand:zone" help:"show availability zones"`
+	Drain      *drainCommand      `arg:"subcommand:drain" help:"stop sending new work to an upstream"`
+	Quarantine *quarantineCommand `arg:"subcommand:quarantine" help:"list or clear requests suspected of crashing upstreams"`
 	Timeline   *timelineCommand   `arg:"subcommand:timeline" help:"show the events of all processes in order"`
-	Explain    *explainCommand    `arg:"subcommand:explain" help:"tell the story of one request from log files"`
-	Change     *changeCommand     `arg:"subcommand:change" help:"show where a configuration change stands"`
+	Explain    *explainCommand    `arg:"subcommand:explain" help:"show the events of one request from log files"`
+	Change     *changeCommand     `arg:"subcommand:change" help:"show the state of a configuration change"`
 	Load       *loadCommand       `arg:"subcommand:load" help:"send a bounded load to a loopback address and measure it"`
 	HashKey    *hashKeyCommand    `arg:"subcommand:hash-key" help:"print the stored form of a key or token"`
 	Completion *completionCommand `arg:"subcommand:completion" help:"print a completion script for bash"`
@@ -45,20 +47,20 @@
 	Output string `arg:"--output,env:SPARSHORE_OUTPUT" default:"table" help:"table or json"`
 }
 
-// Description is printed in the help text.
+// Description returns the introduction of the help text.
 func (arguments) Description() string {
 	return "sparshorectl operates a sparshore deployment.\nExit codes: 0 done, 1 failed, 2 wrong usage, 3 refused, 4 committed but not in force everywhere yet.\n"
 }
 
-// Version is printed by --version.
+// Version returns the text that --version prints.
 func (arguments) Version() string { return "sparshorectl " + version.String() }
 
-// command is one thing the tool can do.
+// command is implemented by the subcommands.
 type command interface {
 	run(env *environment) error
 }
 
-// environment is what commands act on: the seams to files, network and output.
+// environment gives commands access to the administration API, files and output streams.
 type environment struct {
 	api      *api
 	json     bool
@@ -67,7 +69,7 @@
 	readFile func(name string) ([]byte, error)
 }
 
-// Main runs the tool and returns its exit code.
+// Main runs the command in args and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var a arguments
 	p, code, done := commandline.Parse("sparshorectl", &a, args, stdout, stderr)
--- a/internal/ctl/policy.go
+++ b/internal/ctl/policy.go
@@ -14,7 +14,7 @@
 
 type policyCommand struct {
 	Check   *policyCheckCommand   `arg:"subcommand:check" help:"compile the policies of a configuration file"`
-	Explain *policyExplainCommand `arg:"subcommand:explain" help:"show who goes, who waits and who is refused among sample requests"`
+	Explain *policyExplainCommand `arg:"subcommand:explain" help:"show which sample requests start, wait or are refused"`
 }
 
 func (*policyCommand) run(*environment) error { return errSubcommand }
@@ -42,19 +42,20 @@
 	Pool    string `arg:"--pool" help:"pool whose policy is explained; default is the first engine pool"`
 }
 
-// sampleFile is a state of an engine and requests that arrive at once.
+// sampleFile describes the state of an engine and the requests that arrive there at the same
+// time.
 type sampleFile struct {
 	Engine struct {
 		Blocks      int `yaml:"blocks"`
 		BlockTokens int `yaml:"block_tokens"`
-		// Running are streams that run already.
-		Running []sample `yaml:"running"`
+		// Running are the streams that run before the requests arrive.
+		Running []sampleRequest `yaml:"running"`
 	} `yaml:"engine"`
-	Hour     int      `yaml:"hour"`
-	Requests []sample `yaml:"requests"`
+	Hour     int             `yaml:"hour"`
+	Requests []sampleRequest `yaml:"requests"`
 }
 
-type sample struct {
+type sampleRequest struct {
 	ID        string `yaml:"id"`
 	Model     string `yaml:"model"`
 	Account   string `yaml:"account"`
@@ -63,7 +64,7 @@
 	Generated int    `yaml:"generated"`
 }
 
-// errSamples is wrapped by errors about a file of samples.
+// errSamples is wrapped by errors about sample requests.
 var errSamples = errors.New("sample requests")
 
 type explanation struct {
@@ -93,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	rows := explain(cfg, pol, samples)
+	rows := explainSamples(cfg, pol, samples)
 	if env.json {
 		return env.printJSON(rows)
 	}
@@ -104,7 +105,7 @@
 	return env.table("REQUEST\tMODEL\tOUTCOME\tWHY\tCLASS\tRANK\tGIVE WAY", out, "%s\t%s\t%s\t%s\t%s\t%g\t%g")
 }
 
-// policy returns the compiled policy of the chosen pool, nil if it has none.
+// policy returns the compiled policy of the selected pool, or nil if the pool has none.
 func (c *policyExplainCommand) policy(cfg *config.Config) (*policy.Policy, error) {
 	set, err := policy.CompileAll(cfg)
 	if err != nil {
@@ -118,9 +119,9 @@
 	return nil, fmt.Errorf("%w: no engine pool %q", errSamples, c.Pool)
 }
 
-// explain lets the decision itself judge the samples, with its clock standing
-// still.
-func explain(cfg *config.Config, pol *policy.Policy, f sampleFile) []explanation {
+// explainSamples runs the samples through the scheduler of internal/decision with a constant
+// clock.
+func explainSamples(cfg *config.Config, pol *policy.Policy, f sampleFile) []explanation {
 	at := time.Unix(0, 0)
 	sched := decision.New(decision.Settings{Blocks: f.Engine.Blocks, BlockTokens: f.Engine.BlockTokens, Risk: decision.DefaultRisk}, func() time.Time { return at })
 	for i, s := range f.Engine.Running {
@@ -132,23 +133,23 @@
 		}
 	}
 	rows := make([]explanation, 0, len(f.Requests))
-	place := map[string]int{}
+	rowIndex := map[string]int{}
 	for _, s := range f.Requests {
 		weight := 1.0
 		if a, ok := cfg.Account(s.Account); ok && a.Weight > 0 {
 			weight = a.Weight
 		}
 		used := float64(sched.Used()) / float64(max(1, f.Engine.Blocks))
-		v := pol.Decide(policy.Input{
+		verdict := pol.Decide(policy.Input{
 			Model: s.Model, Prompt: s.Prompt, MaxTokens: s.MaxTokens, Account: s.Account, Weight: weight,
 			UsedPart: used, Running: sched.Running(), Waiting: sched.Waiting(), Hour: f.Hour,
 		})
-		row := explanation{ID: s.ID, Model: s.Model, Class: v.Class, Rank: v.Rank, GiveWay: v.GiveWay}
-		if v.Admit {
+		row := explanation{ID: s.ID, Model: s.Model, Class: verdict.Class, Rank: verdict.Rank, GiveWay: verdict.GiveWay}
+		if verdict.Admit {
 			row.Outcome, row.Why = "waits", "memory"
-			place[s.ID] = len(rows)
+			rowIndex[s.ID] = len(rows)
 			sched.Arrive(decision.Request{
-				ID: s.ID, Account: s.Account, Weight: weight, Class: v.Class, Rank: v.Rank, GiveWay: v.GiveWay,
+				ID: s.ID, Account: s.Account, Weight: weight, Class: verdict.Class, Rank: verdict.Rank, GiveWay: verdict.GiveWay,
 				Prompt: s.Prompt, MaxTokens: s.MaxTokens,
 			})
 		} else {
@@ -157,7 +158,7 @@
 		rows = append(rows, row)
 	}
 	for _, a := range sched.Decide() {
-		if i, ok := place[a.ID()]; ok && a.Kind() == decision.Admit {
+		if i, ok := rowIndex[a.ID()]; ok && a.Kind() == decision.Admit {
 			rows[i].Outcome, rows[i].Why = "goes", a.Reason()
 		}
 	}
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -8,8 +8,8 @@
 )
 
 type quarantineCommand struct {
-	List *quarantineListCommand `arg:"subcommand:list" help:"show requests under which upstreams ended"`
-	Lift *quarantineLiftCommand `arg:"subcommand:lift" help:"let a request go to upstreams again"`
+	List *quarantineListCommand `arg:"subcommand:list" help:"list requests that were running when upstreams crashed"`
+	Lift *quarantineLiftCommand `arg:"subcommand:lift" help:"clear a suspect or quarantined request"`
 }
 
 func (c *quarantineCommand) run(env *environment) error {
@@ -21,23 +21,25 @@
 
 type quarantineListCommand struct{}
 
-type heldRequest struct {
-	Fingerprint string     `json:"fingerprint"`
-	Route       string     `json:"route"`
-	Account     string     `json:"account,omitempty"`
-	Ends        []string   `json:"upstreams_ended"`
-	Latest      time.Time  `json:"latest_end"`
-	Held        *time.Time `json:"held_since,omitempty"`
-	Until       *time.Time `json:"held_until,omitempty"`
-	Refused     int        `json:"refused"`
+// suspectRequest is a request that was running when upstreams crashed. It is in quarantine if
+// QuarantinedAt is set.
+type suspectRequest struct {
+	Fingerprint      string     `json:"fingerprint"`
+	Route            string     `json:"route"`
+	Account          string     `json:"account,omitempty"`
+	Crashes          []string   `json:"upstreams_ended"`
+	LatestCrash      time.Time  `json:"latest_end"`
+	QuarantinedAt    *time.Time `json:"held_since,omitempty"`
+	QuarantinedUntil *time.Time `json:"held_until,omitempty"`
+	Refused          int        `json:"refused"`
 }
 
-type quarantineBody struct {
-	Requests []heldRequest `json:"requests"`
+type quarantineResponse struct {
+	Requests []suspectRequest `json:"requests"`
 }
 
 func (*quarantineListCommand) run(env *environment) error {
-	var b quarantineBody
+	var b quarantineResponse
 	if err := env.api.call(http.MethodGet, "/quarantine", nil, &b); err != nil {
 		return err
 	}
@@ -46,13 +48,13 @@
 	}
 	rows := make([][]any, 0, len(b.Requests))
 	for _, r := range b.Requests {
-		rows = append(rows, []any{r.Fingerprint, r.Route, r.Account, len(r.Ends), r.Latest.Format(time.RFC3339), moment(r.Held), moment(r.Until), r.Refused})
+		rows = append(rows, []any{r.Fingerprint, r.Route, r.Account, len(r.Crashes), r.LatestCrash.Format(time.RFC3339), formatTime(r.QuarantinedAt), formatTime(r.QuarantinedUntil), r.Refused})
 	}
 	return env.table("FINGERPRINT\tROUTE\tACCOUNT\tENDED\tLATEST END\tHELD SINCE\tTRIED AGAIN\tREFUSED", rows, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d")
 }
 
-// moment prints a time, or a dash for none.
-func moment(t *time.Time) string {
+// formatTime formats a time, or nil as a dash.
+func formatTime(t *time.Time) string {
 	if t == nil {
 		return "-"
 	}
@@ -60,7 +62,7 @@
 }
 
 type quarantineLiftCommand struct {
-	Fingerprint string `arg:"positional,required" help:"the request's fingerprint, as list shows it"`
+	Fingerprint string `arg:"positional,required" help:"fingerprint of the request, as printed by list"`
 }
 
 func (c *quarantineLiftCommand) run(env *environment) error {
--- a/internal/ctl/script_test.go
+++ b/internal/ctl/script_test.go
@@ -13,8 +13,8 @@
 	})
 }
 
-// TestScripts runs the commands that need no deployment; those that do have
-// their scripts in internal/scenario.
+// TestScripts runs the scripts of commands that need no deployment. The scripts of the other
+// commands are in internal/scenario.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/scripts", UpdateScripts: os.Getenv("UPDATE_SCRIPTS") != ""})
 }
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -23,34 +23,36 @@
 	UsedPart    float64 `json:"used_part"`
 }
 
-type statusBody struct {
+type statusResponse struct {
 	Process  string       `json:"process"`
 	Zone     string       `json:"zone"`
 	Version  int64        `json:"version"`
 	Accepted bool         `json:"accepted"`
 	Peers    []peerStatus `json:"peers"`
-	// BadRows are rows of upstreams that cannot be used, as gateways tell.
-	BadRows []badRow `json:"bad_rows,omitempty"`
-	// Limits are upstreams that take only so many requests a second.
+	// InvalidRecords are records of upstreams that gateways cannot use.
+	InvalidRecords []invalidRecord `json:"bad_rows,omitempty"`
+	// Limits are the upstreams with a rate limit.
 	Limits []upstreamLimit `json:"limits,omitempty"`
 }
 
+// upstreamLimit is the rate limit of an upstream. AdvertisedAt is when the upstream last announced
+// the limit, Granter the entry that grants its permits.
 type upstreamLimit struct {
-	Upstream string    `json:"upstream"`
-	Rate     float64   `json:"requests_per_s"`
-	Since    time.Time `json:"since"`
-	Named    time.Time `json:"named"`
-	Granter  string    `json:"granter,omitempty"`
+	Upstream     string    `json:"upstream"`
+	Rate         float64   `json:"requests_per_s"`
+	Since        time.Time `json:"since"`
+	AdvertisedAt time.Time `json:"named"`
+	Granter      string    `json:"granter,omitempty"`
 }
 
-type badRow struct {
+type invalidRecord struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 	Reason  string `json:"reason"`
 }
 
 func (*statusCommand) run(env *environment) error {
-	var b statusBody
+	var b statusResponse
 	if err := env.api.call(http.MethodGet, "/status", nil, &b); err != nil {
 		return err
 	}
@@ -72,24 +74,24 @@
 		"%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.0f%%"); err != nil {
 		return err
 	}
-	if err := printLimits(env, b.Limits); err != nil || len(b.BadRows) == 0 {
+	if err := printLimits(env, b.Limits); err != nil || len(b.InvalidRecords) == 0 {
 		return err
 	}
-	bad := make([][]any, 0, len(b.BadRows))
-	for _, r := range b.BadRows {
+	bad := make([][]any, 0, len(b.InvalidRecords))
+	for _, r := range b.InvalidRecords {
 		bad = append(bad, []any{r.Name, r.Version, r.Reason})
 	}
 	return env.table("\nROW THAT CANNOT BE USED\tVERSION\tREASON", bad, "%s\t%d\t%s")
 }
 
-// printLimits shows the upstreams that take only so many requests a second, if there are any.
+// printLimits prints the upstreams with a rate limit. It prints nothing if there are none.
 func printLimits(env *environment, limits []upstreamLimit) error {
 	if len(limits) == 0 {
 		return nil
 	}
 	rows := make([][]any, 0, len(limits))
 	for _, l := range limits {
-		rows = append(rows, []any{l.Upstream, l.Rate, l.Since.Format(time.RFC3339), l.Named.Format(time.RFC3339), l.Granter})
+		rows = append(rows, []any{l.Upstream, l.Rate, l.Since.Format(time.RFC3339), l.AdvertisedAt.Format(time.RFC3339), l.Granter})
 	}
 	return env.table("\nLIMITED UPSTREAM\tREQUESTS A SECOND\tSINCE\tLATEST WORD\tGRANTED BY", rows, "%s\t%v\t%s\t%s\t%s")
 }
--- a/internal/ctl/timeline.go
+++ b/internal/ctl/timeline.go
@@ -27,13 +27,13 @@
 	Fields      map[string]string `json:"fields,omitempty"`
 }
 
-type timelineBody struct {
+type timelineResponse struct {
 	Events      []timelineEvent `json:"events"`
 	Unreachable []string        `json:"unreachable"`
 }
 
 func (c *timelineCommand) run(env *environment) error {
-	var b timelineBody
+	var b timelineResponse
 	if err := env.api.call(http.MethodGet, "/timeline?request="+url.QueryEscape(c.Request), nil, &b); err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	rows := make([][]any, 0, len(b.Events))
 	for _, e := range b.Events {
 		at := time.Unix(0, e.Stamp.Wall).UTC().Format("15:04:05.000000")
-		rows = append(rows, []any{at, e.Process, e.Event, e.Name, e.Request, fieldText(e.Fields)})
+		rows = append(rows, []any{at, e.Process, e.Event, e.Name, e.Request, formatFields(e.Fields)})
 	}
 	if err := env.table("TIME\tPROCESS\tEVENT\tNAME\tREQUEST\tFIELDS", rows, "%s\t%s\t%d\t%s\t%s\t%s"); err != nil {
 		return err
@@ -56,7 +56,8 @@
 	return nil
 }
 
-func fieldText(fields map[string]string) string {
+// formatFields returns the fields as sorted key=value pairs.
+func formatFields(fields map[string]string) string {
 	parts := make([]string, 0, len(fields))
 	for _, k := range slices.Sorted(maps.Keys(fields)) {
 		parts = append(parts, k+"="+fields[k])
--- a/internal/ctl/zone.go
+++ b/internal/ctl/zone.go
@@ -14,42 +14,42 @@
 
 type zoneStatusCommand struct{}
 
-// zoneStatus sums up the processes that the VM list shows in one zone.
+// zoneStatus counts the processes of one zone that are on the VM list.
 type zoneStatus struct {
 	Zone        string `json:"zone"`
 	Processes   int    `json:"processes"`
 	Up          int    `json:"up"`
 	Leaving     int    `json:"leaving"`
 	Unreachable int    `json:"unreachable"`
-	// Lowest is the lowest version in force among the processes that are up.
-	Lowest int64 `json:"lowest_version"`
-	// Blocks is set when the zone keeps changes from being accepted.
-	Blocks bool `json:"blocks_changes"`
+	// LowestVersion is the lowest version in force among the processes that are up.
+	LowestVersion int64 `json:"lowest_version"`
+	// BlocksChanges is set if no change can be accepted because of this zone.
+	BlocksChanges bool `json:"blocks_changes"`
 }
 
 func (*zoneStatusCommand) run(env *environment) error {
-	var b statusBody
+	var b statusResponse
 	if err := env.api.call(http.MethodGet, "/status", nil, &b); err != nil {
 		return err
 	}
-	zones := sumZones(b.Peers)
+	zones := summarizeZones(b.Peers)
 	if env.json {
 		return env.printJSON(zones)
 	}
 	rows := make([][]any, 0, len(zones))
 	for _, z := range zones {
 		blocks := "no"
-		if z.Blocks {
+		if z.BlocksChanges {
 			blocks = "yes"
 		}
-		rows = append(rows, []any{z.Zone, z.Processes, z.Up, z.Leaving, z.Unreachable, z.Lowest, blocks})
+		rows = append(rows, []any{z.Zone, z.Processes, z.Up, z.Leaving, z.Unreachable, z.LowestVersion, blocks})
 	}
 	return env.table("ZONE\tPROCESSES\tUP\tLEAVING\tUNREACHABLE\tLOWEST VERSION\tBLOCKS CHANGES", rows, "%s\t%d\t%d\t%d\t%d\t%d\t%s")
 }
 
-// sumZones groups processes by zone. One that cannot be reached and is not
-// leaving blocks changes until it answers or the VM list drops it.
-func sumZones(peers []peerStatus) []zoneStatus {
+// summarizeZones counts processes by zone. A process that is unreachable and not leaving blocks
+// changes until it answers or is removed from the VM list.
+func summarizeZones(peers []peerStatus) []zoneStatus {
 	byName := map[string]*zoneStatus{}
 	for _, p := range peers {
 		z := byName[p.Zone]
@@ -63,11 +63,11 @@
 			z.Leaving++
 		case "unreachable":
 			z.Unreachable++
-			z.Blocks = true
+			z.BlocksChanges = true
 		default:
 			z.Up++
-			if z.Lowest == 0 || p.Version < z.Lowest {
-				z.Lowest = p.Version
+			if z.LowestVersion == 0 || p.Version < z.LowestVersion {
+				z.LowestVersion = p.Version
 			}
 		}
 	}
