--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,5 +1,6 @@
-// Package timeline gathers the recorded events of all processes into one
-// ordered list.
+// Package timeline collects the recorded events of all processes into one list, ordered by their
+// hybrid logical clocks. The administration API of an entry calls Gather; all processes serve
+// Methods to their peers.
 package timeline
 
 import (
@@ -24,7 +25,7 @@
 	Events []events.Entry `json:"events"`
 }
 
-// Methods returns the handler that answers for the own process.
+// Methods returns the peer methods that serve the events of this process.
 func Methods(rec *events.Recorder) peer.Methods {
 	return peer.Methods{
 		methodSelect: func(_ context.Context, _ *peer.Conn, raw json.RawMessage) (any, error) {
@@ -37,21 +38,22 @@
 	}
 }
 
-// Gather asks every process on the VM list for its events about a request, or
-// for all if request is empty. It names the processes that did not answer.
+// Gather collects the events about a request from all processes on the VM list, or all events if
+// request is empty. It also returns the names of the VMs of processes that could not be reached or
+// returned an error.
 func Gather(ctx context.Context, set *membership.Set, request string) (all []events.Entry, unreachable []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, p := range set.Peers() {
 		wg.Go(func() {
-			got, err := ask(ctx, p, request)
+			entries, err := fetchEvents(ctx, p, request)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				unreachable = append(unreachable, p.VMName())
 				return
 			}
-			all = append(all, got...)
+			all = append(all, entries...)
 		})
 	}
 	wg.Wait()
@@ -67,7 +69,7 @@
 	return all, unreachable
 }
 
-func ask(ctx context.Context, p *membership.Peer, request string) ([]events.Entry, error) {
+func fetchEvents(ctx context.Context, p *membership.Peer, request string) ([]events.Entry, error) {
 	c := p.Conn()
 	if c == nil {
 		return nil, fmt.Errorf("%w: %s", peer.ErrUnreachable, p.Address())
