--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -1,6 +1,6 @@
-// Package commandline parses the arguments of the programs in one way: help
-// and version on standard output with exit code 0, faults on standard error
-// with exit code 2.
+// Package commandline parses the arguments of all sparshore programs in the same way. It prints
+// help and version to standard output with exit code 0, and usage errors to standard error with
+// exit code 2.
 package commandline
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/sparshore/sparshore/internal/version"
 )
 
-// The exit codes of all programs.
+// The exit codes that all programs share.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
 	ExitUsage   = 2
 )
 
-// Parse fills dest from args and the environment. done is true when the
-// program has nothing more to do and should exit with code.
+// Parse parses args and environment variables into dest. If done is true, the program exits with
+// code, after help, version or a usage error have been printed.
 func Parse(program string, dest any, args []string, stdout, stderr io.Writer) (parser *arg.Parser, code int, done bool) {
 	p, err := arg.NewParser(arg.Config{Program: program}, dest)
 	if err != nil {
