--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells what build a program is.
+// Package version identifies the build of the running program for its help and version output.
 package version
 
 import "runtime/debug"
