--- a/cmd/sparshore-bench/main.go
+++ b/cmd/sparshore-bench/main.go
@@ -1,4 +1,4 @@
-// Command sparshore-bench measures the decision on virtual time.
+// Command sparshore-bench compares scheduling and placement policies on virtual time.
 package main
 
 import (
--- a/cmd/sparshore-standin/main.go
+++ b/cmd/sparshore-standin/main.go
@@ -1,5 +1,5 @@
-// Command sparshore-standin runs stand-ins for the systems around sparshore,
-// for tests and the demo only.
+// Command sparshore-standin simulates the systems that sparshore depends on, such as engines and
+// the platform's stores. It is for tests and the demo only.
 package main
 
 import (
--- a/cmd/sparshorectl/main.go
+++ b/cmd/sparshorectl/main.go
@@ -1,4 +1,4 @@
-// Command sparshorectl is the operator's tool.
+// Command sparshorectl is the command line tool for operators of a deployment.
 package main
 
 import (
--- a/cmd/sparshored/main.go
+++ b/cmd/sparshored/main.go
@@ -1,5 +1,6 @@
-// Command sparshored is the daemon: an entry that serves callers, or a sidecar
-// beside one upstream.
+// Command sparshored is the daemon. It runs as an entry that serves callers and operators, as a
+// sidecar in front of one upstream, or as a gateway that serves callers from a route table in the
+// platform's store.
 package main
 
 import (
