--- a/internal/scenario/badinput_test.go
+++ b/internal/scenario/badinput_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// TestBadInput sends what no caller should, and checks the answer, that nothing
-// reached an engine or service, and that goroutines and file descriptors of the
-// processes return to their level.
+// TestBadInput sends invalid requests and checks the error responses. It guards against
+// invalid requests that reach an engine or service, and against leaked goroutines and
+// file descriptors after rejected requests and broken streams.
 func TestBadInput(t *testing.T) {
-	c, entries := deployed(t, 1, 1, 1, 1, "SPARSHORE_MAX_BODY=4096")
+	c, entries := deployCluster(t, 1, 1, 1, 1, "SPARSHORE_MAX_BODY=4096")
 	good := `{"model":"bins","messages":[{"role":"user","content":"out=3"}]}`
 	tests := []struct {
 		name   string
@@ -31,8 +31,8 @@
 	}{
 		{name: "no key", path: "/v1/chat/completions", body: good, key: "-", status: 401, code: "invalid_api_key"},
 		{name: "unknown key", path: "/v1/chat/completions", body: good, key: "nobody", status: 401, code: "invalid_api_key"},
-		{name: "no JSON", path: "/v1/chat/completions", body: `{"model":`, status: 400, code: "invalid_body"},
-		{name: "a list", path: "/v1/chat/completions", body: `[]`, status: 400, code: "invalid_body"},
+		{name: "invalid JSON", path: "/v1/chat/completions", body: `{"model":`, status: 400, code: "invalid_body"},
+		{name: "body is a list", path: "/v1/chat/completions", body: `[]`, status: 400, code: "invalid_body"},
 		{name: "no model", path: "/v1/chat/completions", body: `{"messages":[]}`, status: 400, code: "invalid_body", param: "model"},
 		{name: "unknown model", path: "/v1/chat/completions", body: strings.Replace(good, "bins", "cans", 1), status: 404, code: "model_not_found", param: "model"},
 		{name: "model of a wrong type", path: "/v1/chat/completions", body: `{"model":7,"messages":[]}`, status: 400, code: "invalid_body", param: "model"},
@@ -47,11 +47,11 @@
 		{name: "unknown service", path: "/services/nothing/x", status: 404, code: "pool_not_found"},
 		{name: "engine pool as a service", path: "/services/chat/x", status: 404, code: "pool_not_found"},
 		{name: "malformed ticket", path: "/services/ledger/x", idem: "tk.short", status: 400, code: "invalid_body", param: "Idempotency-Key"},
-		{name: "endless key", path: "/services/ledger/x", idem: strings.Repeat("k", 300), status: 400, code: "invalid_body", param: "Idempotency-Key"},
+		{name: "oversized idempotency key", path: "/services/ledger/x", idem: strings.Repeat("k", 300), status: 400, code: "invalid_body", param: "Idempotency-Key"},
 		{name: "no operator token", method: http.MethodGet, path: "/admin/v1/status", status: 401, code: "invalid_operator_token"},
 	}
-	base := c.proc(entries[0]).http
-	level := c.level(t)
+	base := c.proc(entries[0]).baseURL
+	level := c.resourceUse(t)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			method := tt.method
@@ -85,7 +85,7 @@
 				} `json:"error"`
 			}
 			if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-				t.Fatalf("status %d, body is no error object: %v", resp.StatusCode, err)
+				t.Fatalf("status %d, body is not an error object: %v", resp.StatusCode, err)
 			}
 			param := ""
 			if body.Error.Param != nil {
@@ -96,30 +96,31 @@
 			}
 		})
 	}
-	counts, err := c.counts("eng-1")
+	counts, err := c.engineCounts("eng-1")
 	if err != nil || counts["submitted"] != 0 {
-		t.Errorf("the engine was asked %d times, %v", counts["submitted"], err)
+		t.Errorf("the engine received %d requests, %v", counts["submitted"], err)
 	}
-	if runs, err := c.runs(); err != nil || len(runs) != 0 {
+	if runs, err := c.runCounts(); err != nil || len(runs) != 0 {
 		t.Errorf("the service ran %v, %v", runs, err)
 	}
-	c.dropped(t, base)
-	if err := waitFor(func() error { return c.backTo(t, level) }); err != nil {
+	c.breakStreams(t, base)
+	if err := waitFor(func() error { return c.checkReleased(t, level) }); err != nil {
 		t.Error(err)
 	}
 }
 
-// dropped lets callers and the engine break off in mid stream.
-func (c *cluster) dropped(t *testing.T, base string) {
+// breakStreams sends streaming requests that end early, because the engine fails in mid
+// stream or the caller disconnects.
+func (c *cluster) breakStreams(t *testing.T, base string) {
 	t.Helper()
 	for _, fault := range []string{`{"garbage":3}`, `{"stop_after":3}`, `{"repeat":3}`, `{}`} {
-		c.control(c.urls["eng-1"]+"/control/faults", json.RawMessage(fault))
+		c.control(c.upstreamURLs["eng-1"]+"/control/faults", json.RawMessage(fault))
 		for range 5 {
-			a := newAnswer()
+			a := newStreamResult()
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				a.ask(base, 30)
+				a.sendStream(base, 30)
 			}()
 			if fault == `{}` {
 				if err := waitFor(func() error {
@@ -139,16 +140,16 @@
 	}
 }
 
-// usageLevel is how many goroutines and files a process holds.
-type usageLevel struct{ goroutines, files int }
+// resourceCount is the number of goroutines and open files of a process.
+type resourceCount struct{ goroutines, files int }
 
 var goroutinesLine = regexp.MustCompile(`(?m)^go_goroutines (\d+)`)
 
-func (c *cluster) level(t *testing.T) map[string]usageLevel {
+func (c *cluster) resourceUse(t *testing.T) map[string]resourceCount {
 	t.Helper()
-	out := map[string]usageLevel{}
+	out := map[string]resourceCount{}
 	for name, p := range c.procs {
-		resp, err := http.Get(p.http + "/metrics")
+		resp, err := http.Get(p.baseURL + "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,19 +164,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out[name] = usageLevel{goroutines: n, files: len(files)}
+		out[name] = resourceCount{goroutines: n, files: len(files)}
 	}
 	return out
 }
 
-// slack is for idle connections that a process keeps for reuse.
-const slack = 8
+// idleConnAllowance covers idle connections that a process keeps for reuse.
+const idleConnAllowance = 8
 
-func (c *cluster) backTo(t *testing.T, before map[string]usageLevel) error {
-	for name, now := range c.level(t) {
+func (c *cluster) checkReleased(t *testing.T, before map[string]resourceCount) error {
+	for name, now := range c.resourceUse(t) {
 		was := before[name]
-		if now.goroutines > was.goroutines+slack || now.files > was.files+slack {
-			return fmt.Errorf("%s has %+v, had %+v", name, now, was)
+		if now.goroutines > was.goroutines+idleConnAllowance || now.files > was.files+idleConnAllowance {
+			return fmt.Errorf("%s: %+v now, %+v before", name, now, was)
 		}
 	}
 	return nil
--- a/internal/scenario/callers_test.go
+++ b/internal/scenario/callers_test.go
@@ -12,32 +12,33 @@
 	"time"
 )
 
-// answer is what one caller received of one stream, over reconnections.
-type answer struct {
-	mu      sync.Mutex
-	lastID  string
-	tokens  []string
-	end     string
-	cutAt   string
-	status  int
-	request string
-	outcome string
-	retry   string
-	took    time.Duration
-	done    chan struct{}
-	stop    context.CancelFunc
+// streamResult is what one caller received of one stream, across reconnections.
+type streamResult struct {
+	mu        sync.Mutex
+	lastID    string
+	tokens    []string
+	end       string
+	cutError  string
+	status    int
+	requestID string
+	outcome   string
+	retry     string
+	took      time.Duration
+	done      chan struct{}
+	stop      context.CancelFunc
 }
 
-func newAnswer() *answer { return &answer{done: make(chan struct{})} }
+func newStreamResult() *streamResult { return &streamResult{done: make(chan struct{})} }
 
-func (a *answer) count() int {
+func (a *streamResult) count() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.tokens)
 }
 
-// ask sends a streamed request, or goes on with the one a already has.
-func (a *answer) ask(url string, out int) {
+// sendStream sends a streaming request and reads the stream until it ends. If events
+// were received earlier, it resumes the stream after the last event ID.
+func (a *streamResult) sendStream(url string, out int) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	a.mu.Lock()
@@ -61,7 +62,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	a.mu.Lock()
-	a.request = resp.Header.Get("X-Request-Id")
+	a.requestID = resp.Header.Get("X-Request-Id")
 	a.status, a.outcome, a.retry = resp.StatusCode, resp.Header.Get("Sparshore-Outcome"), resp.Header.Get("Retry-After")
 	a.mu.Unlock()
 	if resp.StatusCode != http.StatusOK {
@@ -71,13 +72,13 @@
 	a.finish(a.read(resp.Body))
 }
 
-func (a *answer) finish(end string) {
+func (a *streamResult) finish(end string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.end = end
 }
 
-func (a *answer) read(body io.Reader) string {
+func (a *streamResult) read(body io.Reader) string {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), ": ")
@@ -89,10 +90,10 @@
 		case name == "data" && value == "[DONE]":
 			return "whole"
 		case name == "data" && strings.Contains(value, `"error"`):
-			a.cutAt = value
+			a.cutError = value
 			return "cut"
 		case name == "data":
-			if t, ok := content(value); ok {
+			if t, ok := chunkToken(value); ok {
 				a.mu.Lock()
 				a.tokens = append(a.tokens, t)
 				a.mu.Unlock()
@@ -102,8 +103,9 @@
 	return "broken"
 }
 
-// content finds the token in a chunk. The stand-in's tokens need no escapes.
-func content(chunk string) (string, bool) {
+// chunkToken extracts the token from a chunk. It doesn't unescape JSON, since the
+// stand-in's tokens contain no characters that need it.
+func chunkToken(chunk string) (string, bool) {
 	_, rest, ok := strings.Cut(chunk, `"content":"`)
 	if !ok {
 		return "", false
@@ -112,24 +114,24 @@
 	return strings.TrimSpace(text), true
 }
 
-// check judges what the caller received: one generation, each token once, in
-// order, none left out.
-func (a *answer) check() error {
-	tag := ""
+// verifyTokens checks that the received tokens belong to one generation and arrived
+// in order, without gaps or duplicates.
+func (a *streamResult) verifyTokens() error {
+	generation := ""
 	for i, t := range a.tokens {
 		g, n, _ := strings.Cut(t, ".")
-		if tag != "" && g != tag {
-			return fmt.Errorf("token %d is of generation %s, not %s", i+1, g, tag)
+		if generation != "" && g != generation {
+			return fmt.Errorf("token %d is from generation %s, want %s", i+1, g, generation)
 		}
-		tag = g
+		generation = g
 		if n != strconv.Itoa(i+1) {
-			return fmt.Errorf("token %d came as number %s", i+1, n)
+			return fmt.Errorf("token %d has number %s", i+1, n)
 		}
 	}
 	return nil
 }
 
-// call is one request to the plain service and its answer.
+// call is the result of one request to the service pool.
 type call struct {
 	status  int
 	outcome string
@@ -139,13 +141,13 @@
 	done    chan struct{}
 }
 
-// file sends a call that may not be repeated.
-func file(ctx context.Context, url, key string) *call {
+// sendCall sends a non-repeatable call.
+func sendCall(ctx context.Context, url, key string) *call {
 	return send(ctx, http.MethodPost, url+"/services/ledger/tallies", key)
 }
 
-// settle asks what became of a call.
-func settle(ctx context.Context, url, key string) *call {
+// queryCall queries the outcome of a call.
+func queryCall(ctx context.Context, url, key string) *call {
 	return send(ctx, http.MethodGet, url+"/services/ledger/_calls/"+key, "")
 }
 
--- a/internal/scenario/capacity_test.go
+++ b/internal/scenario/capacity_test.go
@@ -23,38 +23,39 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// counted counts the bytes of all connections of a listener.
-type counted struct {
+// countingListener counts the bytes read and written on all its connections.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Accept() (net.Conn, error) {
+func (c countingListener) Accept() (net.Conn, error) {
 	nc, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{nc, c.bytes}, nil
+	return countingConn{nc, c.bytes}, nil
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// fakePeers are many processes of the system's own code in the test process.
+// fakePeers are sidecars that run the real membership and rollout code inside the
+// test process.
 type fakePeers struct {
 	bytes   atomic.Int64
 	servers []*peer.Server
@@ -80,10 +81,10 @@
 	for k, v := range store.Methods() {
 		m[k] = v
 	}
-	s := peer.NewServer(counted{l, &f.bytes}, m, nil)
+	s := peer.NewServer(countingListener{l, &f.bytes}, m, nil)
 	s.Start()
 	f.servers = append(f.servers, s)
-	c.control(c.stores+"/control/vms", map[string]string{"name": name, "zone": zoneOf(i), "address": l.Addr().String(), "state": "live"})
+	c.control(c.storesURL+"/control/vms", map[string]string{"name": name, "zone": zoneOf(i), "address": l.Addr().String(), "state": "live"})
 	return nil
 }
 
@@ -93,10 +94,10 @@
 	}
 }
 
-// line is a least-squares fit.
-type line struct{ slope, intercept, residual float64 }
+// linearFit is the result of a linear least-squares fit.
+type linearFit struct{ slope, intercept, residual float64 }
 
-func fit(x, y []float64) line {
+func fitLine(x, y []float64) linearFit {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy float64
 	for i := range x {
@@ -105,7 +106,7 @@
 		sxx += x[i] * x[i]
 		sxy += x[i] * y[i]
 	}
-	l := line{slope: (n*sxy - sx*sy) / (n*sxx - sx*sx)}
+	l := linearFit{slope: (n*sxy - sx*sy) / (n*sxx - sx*sx)}
 	l.intercept = (sy - l.slope*sx) / n
 	for i := range x {
 		d := y[i] - l.intercept - l.slope*x[i]
@@ -115,18 +116,18 @@
 	return l
 }
 
-func (l line) String() string {
+func (l linearFit) String() string {
 	return fmt.Sprintf("slope %.4g, intercept %.4g, residual %.2g", l.slope, l.intercept, l.residual)
 }
 
-// capacityWindow is longer than the time between two heartbeats of the largest
-// size measured.
+// capacityWindow is the length of a measurement. It exceeds the heartbeat interval at
+// the largest measured size.
 const capacityWindow = 30 * time.Second
 
-// TestCapacityEntryPeers measures an idle entry against the number of sidecars
-// it knows.
+// TestCapacityEntryPeers measures the traffic, CPU time and memory of an idle entry
+// as a function of the number of sidecars that it is connected to.
 func TestCapacityEntryPeers(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	var x, bytes, cpu, rss []float64
 	for _, n := range []int{25, 50, 100, 200, 400} {
 		c, err := newCluster(t.TempDir())
@@ -139,18 +140,18 @@
 				t.Fatal(err)
 			}
 		}
-		if err := c.startWith("entry-1", "a", []string{"entry"}, productTiming()); err != nil {
+		if err := c.startWith("entry-1", "a", []string{"entry"}, defaultTimingFlags()); err != nil {
 			t.Fatal(err)
 		}
-		if err := waitFor(func() error { return c.connected("entry-1", n) }); err != nil {
+		if err := waitFor(func() error { return c.checkConnected("entry-1", n) }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
 		pid := c.proc("entry-1").cmd.Process.Pid
 		b0 := f.bytes.Load()
-		u0, _ := usageOf(pid)
+		u0, _ := processUsage(pid)
 		time.Sleep(capacityWindow)
-		u1, _ := usageOf(pid)
+		u1, _ := processUsage(pid)
 		x = append(x, float64(n))
 		bytes = append(bytes, float64(f.bytes.Load()-b0)/capacityWindow.Seconds())
 		cpu = append(cpu, 100*(u1.cpu-u0.cpu).Seconds()/capacityWindow.Seconds())
@@ -159,18 +160,19 @@
 		f.close()
 		c.close()
 	}
-	t.Logf("entry bytes/s per sidecar: %v", fit(x, bytes))
-	t.Logf("entry CPU %% per sidecar: %v", fit(x, cpu))
-	t.Logf("entry KB per sidecar: %v", fit(x, rss))
+	t.Logf("entry bytes/s per sidecar: %v", fitLine(x, bytes))
+	t.Logf("entry CPU %% per sidecar: %v", fitLine(x, cpu))
+	t.Logf("entry KB per sidecar: %v", fitLine(x, rss))
 }
 
-// productTiming are the defaults, not the short periods of the scenarios.
-func productTiming() []string {
+// defaultTimingFlags returns flags with the product's default intervals, which replace
+// the shorter intervals of the tests.
+func defaultTimingFlags() []string {
 	d := membership.DefaultTiming()
 	return []string{"--vms-every", d.List.String(), "--heartbeat", d.Heartbeat.String(), "--config-every", "5s"}
 }
 
-func (c *cluster) connected(entry string, n int) error {
+func (c *cluster) checkConnected(entry string, n int) error {
 	s, err := c.status(entry)
 	if err != nil {
 		return err
@@ -187,21 +189,21 @@
 	return nil
 }
 
-// TestCapacitySidecarEntries measures an idle sidecar against the number of
-// entries connected to it.
+// TestCapacitySidecarEntries measures the CPU time and memory of an idle sidecar as a
+// function of the number of entries connected to it.
 func TestCapacitySidecarEntries(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	var x, cpu, rss []float64
 	for _, n := range []int{10, 50, 100, 200, 350} {
 		c, err := newCluster(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
-		url, err := c.serve(standinEngine(c))
+		url, err := c.serve(newEngineHandler(c))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.startWith("eng-1", "a", []string{"sidecar", "--upstream", "eng-1", "--upstream-url", url}, productTiming()); err != nil {
+		if err := c.startWith("eng-1", "a", []string{"sidecar", "--upstream", "eng-1", "--upstream-url", url}, defaultTimingFlags()); err != nil {
 			t.Fatal(err)
 		}
 		ctx, stop := context.WithCancel(c.ctx)
@@ -211,9 +213,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		pid := c.proc("eng-1").cmd.Process.Pid
-		u0, _ := usageOf(pid)
+		u0, _ := processUsage(pid)
 		time.Sleep(capacityWindow)
-		u1, _ := usageOf(pid)
+		u1, _ := processUsage(pid)
 		x = append(x, float64(n))
 		cpu = append(cpu, 100*(u1.cpu-u0.cpu).Seconds()/capacityWindow.Seconds())
 		rss = append(rss, float64(u1.rss)/1024)
@@ -222,11 +224,12 @@
 		wg.Wait()
 		c.close()
 	}
-	t.Logf("sidecar CPU %% per entry: %v", fit(x, cpu))
-	t.Logf("sidecar KB per entry: %v", fit(x, rss))
+	t.Logf("sidecar CPU %% per entry: %v", fitLine(x, cpu))
+	t.Logf("sidecar KB per entry: %v", fitLine(x, rss))
 }
 
-// fakeEntry is membership's own code of an entry that knows one sidecar.
+// fakeEntry runs the real membership code of an entry whose VM list holds one sidecar,
+// until the context ends.
 func fakeEntry(ctx context.Context, c *cluster, i int) {
 	rec := events.Nop()
 	self := &membership.Self{
@@ -235,16 +238,16 @@
 		Status:   func() membership.Status { return membership.Status{} },
 	}
 	vms := &platform.VMs{List: func(context.Context) ([]platform.VM, error) {
-		return []platform.VM{platform.NewVM("eng-1", "a", c.proc("eng-1").peer, platform.VMLive)}, nil
+		return []platform.VM{platform.NewVM("eng-1", "a", c.proc("eng-1").peerAddr, platform.VMLive)}, nil
 	}}
 	membership.NewSet(self, vms, membership.DefaultTiming(), sidecar.NewClient(rec).Methods()).Run(ctx)
 }
 
-// TestCapacityConfig measures the cost of one configuration against the number
-// of client accounts: parsing what the operator wrote, which the coordinator
-// does, and the canonical form, which every process does and keeps.
+// TestCapacityConfig measures the cost of a configuration as a function of the number
+// of client accounts. It covers the source file, which only the coordinator parses, and
+// the canonical form, which every process parses and keeps in memory.
 func TestCapacityConfig(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	base := "pools: [{name: p, kind: engine, upstreams: [{name: u, zone: a}]}]\nmodels: []\naccounts:\n"
 	var x, size, heap, parse, yaml []float64
 	for _, n := range []int{1000, 6000, 12000, 24000, 47000} {
@@ -266,17 +269,18 @@
 		heap = append(heap, float64(int64(m1.HeapAlloc)-int64(m0.HeapAlloc))/1024)
 		parse = append(parse, float64(took.Milliseconds()))
 		yaml = append(yaml, float64(yamlTook.Milliseconds()))
-		t.Logf("%d accounts: source %.0f KB, heap %.0f KB, parse %.0f ms, of what was written %.0f ms", n, size[len(size)-1], heap[len(heap)-1], parse[len(parse)-1], yaml[len(yaml)-1])
+		t.Logf("%d accounts: source %.0f KB, heap %.0f KB, parse canonical form %.0f ms, parse source %.0f ms", n, size[len(size)-1], heap[len(heap)-1], parse[len(parse)-1], yaml[len(yaml)-1])
 		runtime.KeepAlive(cfg)
 		runtime.KeepAlive(form)
 	}
-	t.Logf("source KB per account: %v", fit(x, size))
-	t.Logf("heap KB per account: %v", fit(x, heap))
-	t.Logf("parse ms per account: %v", fit(x, parse))
-	t.Logf("parse ms per account of what was written: %v", fit(x, yaml))
+	t.Logf("source KB per account: %v", fitLine(x, size))
+	t.Logf("heap KB per account: %v", fitLine(x, heap))
+	t.Logf("canonical form parse ms per account: %v", fitLine(x, parse))
+	t.Logf("source parse ms per account: %v", fitLine(x, yaml))
 }
 
-// canonicalForm parses what an operator wrote and tells how long that took.
+// canonicalForm parses a configuration source and returns its canonical form and the
+// time that this took.
 func canonicalForm(t *testing.T, text []byte) (string, time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -287,10 +291,10 @@
 	return string(c.Canonical()), time.Since(began)
 }
 
-// TestCapacityChange measures the bytes that one change of one account moves to
-// each process, against the size of the configuration.
+// TestCapacityChange measures how many bytes a change of one account transfers to each
+// process, as a function of the size of the configuration.
 func TestCapacityChange(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	const processes = 8
 	var x, bytes []float64
 	for _, n := range []int{1000, 6000, 12000, 24000} {
@@ -304,7 +308,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := c.startWith("entry-1", "a", []string{"entry", "--max-body", "67108864"}, productTiming()); err != nil {
+		if err := c.startWith("entry-1", "a", []string{"entry", "--max-body", "67108864"}, defaultTimingFlags()); err != nil {
 			t.Fatal(err)
 		}
 		base := "pools: [{name: p, kind: engine, upstreams: [{name: fake-1, zone: a}]}]\nmodels: []\naccounts:\n"
@@ -320,17 +324,17 @@
 		}
 		x = append(x, float64(len(text))/1024)
 		bytes = append(bytes, float64(f.bytes.Load()-b0)/processes/1024)
-		t.Logf("configuration of %.0f KB: a change of one account moves %.1f KB to each process", x[len(x)-1], bytes[len(bytes)-1])
+		t.Logf("configuration of %.0f KB: a change of one account transfers %.1f KB to each process", x[len(x)-1], bytes[len(bytes)-1])
 		f.close()
 		c.close()
 	}
-	t.Logf("KB moved per KB of configuration: %v", fit(x, bytes))
+	t.Logf("KB transferred per KB of configuration: %v", fitLine(x, bytes))
 }
 
-// TestCapacityFrame measures the size of a heartbeat, the message that dominates
-// an idle process's traffic.
+// TestCapacityFrame measures the size of the load report in a heartbeat. Heartbeats
+// dominate the traffic of an idle process.
 func TestCapacityFrame(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	b, err := json.Marshal(membership.Load{Running: 17, Waiting: 3, UsedPermille: 512, WaitMS: 1200, AtMS: time.Now().UnixMilli()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -19,182 +19,187 @@
 	chaosRequests = flag.Int("chaos.requests", 60, "requests of the random mix")
 )
 
-// tally is what callers saw, for each promise.
-type tally struct {
+// chaosResult collects what callers observed: counters, breaches of a guarantee and
+// the final outcome reported for each call.
+type chaosResult struct {
 	mu       sync.Mutex
 	counts   map[string]int
 	breaches []string
-	told     map[string]string
+	outcomes map[string]string
 }
 
-func (y *tally) add(name string) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.counts[name]++
+func (result *chaosResult) add(name string) {
+	result.mu.Lock()
+	defer result.mu.Unlock()
+	result.counts[name]++
 }
 
-func (y *tally) breach(format string, args ...any) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.breaches = append(y.breaches, fmt.Sprintf(format, args...))
+func (result *chaosResult) addBreach(format string, args ...any) {
+	result.mu.Lock()
+	defer result.mu.Unlock()
+	result.breaches = append(result.breaches, fmt.Sprintf(format, args...))
 }
 
-// tell keeps the strongest word on a call: done and not-run must never both be
-// said, and unknown takes neither back.
-func (y *tally) tell(key, outcome string) {
+// recordOutcome records the outcome that a caller received for a call. It adds a
+// breach if a call is reported both as done and as not-run. The outcome unknown
+// doesn't overwrite either of them.
+func (result *chaosResult) recordOutcome(key, outcome string) {
 	if outcome != "done" && outcome != "not-run" {
 		return
 	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if before := y.told[key]; before != "" && before != outcome {
-		y.breaches = append(y.breaches, fmt.Sprintf("call %s: %s, and before %s", key, outcome, before))
+	result.mu.Lock()
+	defer result.mu.Unlock()
+	if before := result.outcomes[key]; before != "" && before != outcome {
+		result.breaches = append(result.breaches, fmt.Sprintf("call %s: reported %s, earlier %s", key, outcome, before))
 	}
-	y.told[key] = outcome
+	result.outcomes[key] = outcome
 }
 
-// TestChaos runs a seeded mix of failures under load and judges every promise
-// from what callers received and services counted.
+// TestChaos injects a seeded random mix of failures under load. It checks each
+// guarantee against what callers received and what the services counted.
 func TestChaos(t *testing.T) {
-	c, entries := deployed(t, 2, 2, 2, 2, "SPARSHORE_SKEW=50ms", "SPARSHORE_LEASE_TERM=2s", "SPARSHORE_RESUME_WITHIN=3s", "SPARSHORE_START_WITHIN=15s", "SPARSHORE_CALL_WITHIN=5s", "SPARSHORE_STOP_WITHIN=10s")
-	y := &tally{counts: map[string]int{}, told: map[string]string{}}
+	c, entries := deployCluster(t, 2, 2, 2, 2, "SPARSHORE_SKEW=50ms", "SPARSHORE_LEASE_TERM=2s", "SPARSHORE_RESUME_WITHIN=3s", "SPARSHORE_START_WITHIN=15s", "SPARSHORE_CALL_WITHIN=5s", "SPARSHORE_STOP_WITHIN=10s")
+	result := &chaosResult{counts: map[string]int{}, outcomes: map[string]string{}}
 	rng := rand.New(rand.NewPCG(*chaosSeed, 7))
 	ctx, stop := context.WithCancel(t.Context())
 	var faults sync.WaitGroup
-	faults.Go(func() { c.makeTrouble(ctx, rand.New(rand.NewPCG(*chaosSeed, 8)), y) })
+	faults.Go(func() { c.injectFaults(ctx, rand.New(rand.NewPCG(*chaosSeed, 8)), result) })
 	var callers sync.WaitGroup
 	for i := range *chaosRequests {
 		seed := rng.Uint64()
-		callers.Go(func() { c.caller(rand.New(rand.NewPCG(seed, uint64(i))), entries, y) })
+		callers.Go(func() { c.runCaller(rand.New(rand.NewPCG(seed, uint64(i))), entries, result) })
 		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 	}
 	callers.Wait()
 	stop()
 	faults.Wait()
-	c.judge(y)
-	c.crashes(y)
-	t.Logf("seed %d: %v", *chaosSeed, y.counts)
-	for _, b := range y.breaches {
+	c.checkCalls(result)
+	c.checkLogs(result)
+	t.Logf("seed %d: %v", *chaosSeed, result.counts)
+	for _, b := range result.breaches {
 		t.Errorf("breach: %s", b)
 	}
 }
 
-// judge compares what callers were told with what the services counted.
-func (c *cluster) judge(y *tally) {
-	// A call that is still on its way may run until its deadline.
+// checkCalls compares the outcomes that callers received with the services' own
+// counters.
+func (c *cluster) checkCalls(result *chaosResult) {
+	// A call in flight may still run until its deadline.
 	time.Sleep(time.Second)
-	runs, err := c.runs()
+	runs, err := c.runCounts()
 	if err != nil {
-		y.breach("the services cannot be asked: %v", err)
+		result.addBreach("read the services' counters: %v", err)
 	}
 	for key, n := range runs {
-		y.add(fmt.Sprintf("keys with %d runs", n))
+		result.add(fmt.Sprintf("keys with %d runs", n))
 		if n > 1 {
-			y.breach("call %s ran %d times", key, n)
+			result.addBreach("call %s ran %d times", key, n)
 		}
-		if y.told[key] == "not-run" {
-			y.breach("call %s ran after not-run was said", key)
+		if result.outcomes[key] == "not-run" {
+			result.addBreach("call %s ran, but was reported as not-run", key)
 		}
 	}
-	for key, outcome := range y.told {
+	for key, outcome := range result.outcomes {
 		if outcome == "done" && runs[key] != 1 {
-			y.breach("call %s is said to be done and ran %d times", key, runs[key])
+			result.addBreach("call %s was reported as done, but ran %d times", key, runs[key])
 		}
 	}
 }
 
-// crashes looks for processes that ended by a fault of their own.
-func (c *cluster) crashes(y *tally) {
+// checkLogs searches the logs of the processes for panics, fatal errors and data
+// races.
+func (c *cluster) checkLogs(result *chaosResult) {
 	logs, _ := filepath.Glob(filepath.Join(c.dir, "*.log"))
 	for _, file := range logs {
 		b, err := os.ReadFile(file)
 		if err != nil {
-			y.breach("%v", err)
+			result.addBreach("%v", err)
 		}
 		for _, mark := range []string{"panic: ", "fatal error: ", "DATA RACE"} {
 			if i := strings.Index(string(b), mark); i >= 0 {
-				y.breach("%s: %.2000s", filepath.Base(file), b[i:])
+				result.addBreach("%s: %.2000s", filepath.Base(file), b[i:])
 			}
 		}
 	}
 }
 
-func (c *cluster) caller(rng *rand.Rand, entries []string, y *tally) {
+func (c *cluster) runCaller(rng *rand.Rand, entries []string, result *chaosResult) {
 	if rng.IntN(2) == 0 {
-		c.streamCaller(rng, entries, y)
+		c.runStreamCaller(rng, entries, result)
 	} else {
-		c.callCaller(rng, entries, y)
+		c.runCallCaller(rng, entries, result)
 	}
 }
 
-const chaosTries = 12
+const maxStreamAttempts = 12
 
-func (c *cluster) streamCaller(rng *rand.Rand, entries []string, y *tally) {
-	y.add("streams asked")
+func (c *cluster) runStreamCaller(rng *rand.Rand, entries []string, result *chaosResult) {
+	result.add("streams sent")
 	out := 1 + rng.IntN(150)
-	a := newAnswer()
+	a := newStreamResult()
 	first := rng.IntN(len(entries))
-	for try := range chaosTries {
-		a.ask(c.proc(entries[(first+try)%len(entries)]).http, out)
+	for attempt := range maxStreamAttempts {
+		a.sendStream(c.proc(entries[(first+attempt)%len(entries)]).baseURL, out)
 		if a.end == "whole" || a.end == "cut" || (a.end == "refused" && a.lastID == "") {
 			break
 		}
 		time.Sleep(150 * time.Millisecond)
 	}
-	y.add("streams " + a.end)
-	if err := a.check(); err != nil {
-		y.breach("stream %s: %v", a.lastID, err)
+	result.add("streams " + a.end)
+	if err := a.verifyTokens(); err != nil {
+		result.addBreach("stream %s: %v", a.lastID, err)
 	}
 	if a.end == "whole" && len(a.tokens) != out {
-		y.breach("stream %s is said to be whole with %d of %d tokens", a.lastID, len(a.tokens), out)
+		result.addBreach("stream %s was reported as whole with %d of %d tokens", a.lastID, len(a.tokens), out)
 	}
 	if a.end == "refused" && a.lastID == "" && a.retry == "" {
-		y.breach("a stream was refused without Retry-After")
+		result.addBreach("a stream was refused without Retry-After")
 	}
 }
 
-// callCaller files a call, and files or asks again under the same key through
-// any entry until the outcome is known.
-func (c *cluster) callCaller(rng *rand.Rand, entries []string, y *tally) {
-	y.add("calls asked")
-	key := newDatedKey(time.Now())
+// runCallCaller sends a call through random entries and repeats it, or queries its
+// outcome, under the same key for a random number of rounds. A call without a key
+// ends with the first response.
+func (c *cluster) runCallCaller(rng *rand.Rand, entries []string, result *chaosResult) {
+	result.add("calls sent")
+	key := newUUIDv7(time.Now())
 	if rng.IntN(4) == 0 {
 		key = ""
 	}
 	outcome := "broken"
 	for range 1 + rng.IntN(4) {
-		url := c.proc(entries[rng.IntN(len(entries))]).http
+		url := c.proc(entries[rng.IntN(len(entries))]).baseURL
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(300+rng.IntN(8000))*time.Millisecond)
 		var got *call
 		if key != "" && rng.IntN(3) == 0 {
-			got = settle(ctx, url, key)
+			got = queryCall(ctx, url, key)
 		} else {
-			got = file(ctx, url, key)
+			got = sendCall(ctx, url, key)
 		}
 		cancel()
 		if got.err != nil {
 			continue
 		}
 		outcome = got.outcome
-		y.tell(got.id, got.outcome)
+		result.recordOutcome(got.id, got.outcome)
 		if key == "" {
 			break
 		}
 	}
-	y.add("calls " + outcome)
+	result.add("calls " + outcome)
 }
 
-// makeTrouble draws one failure after another, two at a time now and then, and
-// mends each after a while.
-func (c *cluster) makeTrouble(ctx context.Context, rng *rand.Rand, y *tally) {
+// injectFaults injects one or two random failures at a time and reverts them after a
+// random time, until the context ends.
+func (c *cluster) injectFaults(ctx context.Context, rng *rand.Rand, result *chaosResult) {
 	names := []string{"eng-1", "eng-2", "led-1", "led-2", "entry-1", "entry-2"}
 	for ctx.Err() == nil {
-		var mend []func()
+		var undo []func()
 		for range 1 + rng.IntN(2) {
-			mend = append(mend, c.trouble(rng, names[rng.IntN(len(names))], y))
+			undo = append(undo, c.injectFault(rng, names[rng.IntN(len(names))], result))
 		}
 		sleep(ctx, time.Duration(200+rng.IntN(1800))*time.Millisecond)
-		for _, f := range mend {
+		for _, f := range undo {
 			f()
 		}
 		sleep(ctx, time.Duration(rng.IntN(500))*time.Millisecond)
@@ -208,39 +213,39 @@
 	}
 }
 
-func (c *cluster) trouble(rng *rand.Rand, name string, y *tally) func() {
+func (c *cluster) injectFault(rng *rand.Rand, name string, result *chaosResult) func() {
 	switch rng.IntN(6) {
 	case 0:
-		y.add("faults kill")
+		result.add("faults kill")
 		_ = c.signal(name, syscall.SIGKILL)
-		return func() { c.again(name, y) }
+		return func() { c.restartKilled(name, result) }
 	case 1:
-		y.add("faults freeze")
+		result.add("faults freeze")
 		_ = c.signal(name, syscall.SIGSTOP)
 		return func() { _ = c.signal(name, syscall.SIGCONT) }
 	case 2:
-		y.add("faults cut")
+		result.add("faults cut")
 		c.relays[name].Cut(true)
 		return func() { c.relays[name].Cut(false) }
 	case 3:
-		y.add("faults reset")
+		result.add("faults reset")
 		c.relays[name].Reset()
 		return func() {}
 	case 4:
-		y.add("faults outage")
-		c.control(c.stores+"/control/faults", map[string]any{"outage": true, "vm_outage": rng.IntN(2) == 0})
-		return func() { c.control(c.stores+"/control/faults", map[string]any{}) }
+		result.add("faults outage")
+		c.control(c.storesURL+"/control/faults", map[string]any{"outage": true, "vm_outage": rng.IntN(2) == 0})
+		return func() { c.control(c.storesURL+"/control/faults", map[string]any{}) }
 	default:
-		y.add("faults lost reply")
+		result.add("faults lost reply")
 		service := []string{"led-1", "led-2"}[rng.IntN(2)]
-		c.control(c.urls[service]+"/control/faults", map[string]any{"lose_replies": 1, "delay_ms": rng.IntN(300)})
-		return func() { c.control(c.urls[service]+"/control/faults", map[string]any{}) }
+		c.control(c.upstreamURLs[service]+"/control/faults", map[string]any{"lose_replies": 1, "delay_ms": rng.IntN(300)})
+		return func() { c.control(c.upstreamURLs[service]+"/control/faults", map[string]any{}) }
 	}
 }
 
-// again restarts a process that was killed; two faults at once may have hit
-// the same one, and then the second has nothing to do.
-func (c *cluster) again(name string, y *tally) {
+// restartKilled restarts a killed process. If both concurrent faults killed the same
+// process, the first call has already restarted it and the second does nothing.
+func (c *cluster) restartKilled(name string, result *chaosResult) {
 	if !c.exited(name) {
 		select {
 		case <-c.proc(name).done:
@@ -249,6 +254,6 @@
 		}
 	}
 	if err := c.restart(name); err != nil {
-		y.add("restart failed")
+		result.add("restart failed")
 	}
 }
--- a/internal/scenario/cluster_test.go
+++ b/internal/scenario/cluster_test.go
@@ -23,40 +23,40 @@
 )
 
 const (
-	apiKey    = "scenario-key"
-	opToken   = "scenario-operator"
-	patience  = 20 * time.Second
-	poll      = 20 * time.Millisecond
-	modelName = "bins"
+	apiKey       = "scenario-key"
+	opToken      = "scenario-operator"
+	waitTimeout  = 20 * time.Second
+	pollInterval = 20 * time.Millisecond
+	modelName    = "bins"
 )
 
-// process is one program of the deployment.
+// process is one sparshored process of the deployment.
 type process struct {
-	name string
-	args []string
-	cmd  *exec.Cmd
-	peer string
-	http string
-	done chan struct{}
+	name     string
+	args     []string
+	cmd      *exec.Cmd
+	peerAddr string
+	baseURL  string
+	done     chan struct{}
 }
 
 // cluster is a deployment of separate processes on loopback. Engines, services
-// and the platform are stand-ins inside the test process, so that what they
-// counted can be read without asking the system.
+// and the platform are stand-ins inside the test process, so that tests can read
+// their counters without going through the system under test.
 type cluster struct {
-	dir      string
-	platform *standin.Platform
-	stores   string
-	mu       sync.Mutex
-	procs    map[string]*process
-	relays   map[string]*standin.Relay
-	engines  map[string]*standin.Engine
-	services map[string]string
-	urls     map[string]string
-	cancel   context.CancelFunc
-	ctx      context.Context
-	env      []string
-	closers  []func()
+	dir          string
+	platform     *standin.Platform
+	storesURL    string
+	mu           sync.Mutex
+	procs        map[string]*process
+	relays       map[string]*standin.Relay
+	engines      map[string]*standin.Engine
+	services     map[string]string
+	upstreamURLs map[string]string
+	cancel       context.CancelFunc
+	ctx          context.Context
+	env          []string
+	closers      []func()
 }
 
 func newCluster(dir string, env ...string) (*cluster, error) {
@@ -64,16 +64,16 @@
 	c := &cluster{
 		dir: dir, platform: standin.NewPlatform(time.Now), procs: map[string]*process{},
 		relays: map[string]*standin.Relay{}, engines: map[string]*standin.Engine{},
-		services: map[string]string{}, urls: map[string]string{}, ctx: ctx, cancel: cancel, env: env,
+		services: map[string]string{}, upstreamURLs: map[string]string{}, ctx: ctx, cancel: cancel, env: env,
 	}
 	url, err := c.serve(c.platform.Handler())
-	c.stores = url
+	c.storesURL = url
 	return c, err
 }
 
-// deployed is a cluster with its configuration accepted and all processes up;
-// it ends with the test.
-func deployed(t *testing.T, entries, engines, services, speed int, env ...string) (*cluster, []string) {
+// deployCluster starts a cluster, activates its configuration and waits until all
+// processes are up. The cluster is closed at the end of the test.
+func deployCluster(t *testing.T, entries, engines, services, speed int, env ...string) (*cluster, []string) {
 	t.Helper()
 	c, err := newCluster(t.TempDir(), env...)
 	if err != nil {
@@ -84,23 +84,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.configured(t, names)
+	c.applyAndWait(t, names)
 	return c, names
 }
 
-// configured brings the configuration of what runs into force.
-func (c *cluster) configured(t *testing.T, entries []string) {
+// applyAndWait applies a configuration that lists the running upstreams and waits
+// until the entries are ready.
+func (c *cluster) applyAndWait(t *testing.T, entries []string) {
 	t.Helper()
 	if err := c.apply(entries[0], 0, c.configText()); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.ready(entries...); err != nil {
+	if err := c.waitReady(entries...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// withEngine is a cluster of one entry before one engine of the given kind.
-func withEngine(t *testing.T, settings standin.EngineSettings, env ...string) (*cluster, string) {
+// deployWithEngine starts a cluster of one entry and one engine with the given
+// settings, and returns the cluster and the engine's own URL.
+func deployWithEngine(t *testing.T, settings standin.EngineSettings, env ...string) (*cluster, string) {
 	t.Helper()
 	c, err := newCluster(t.TempDir(), env...)
 	if err != nil {
@@ -114,11 +116,11 @@
 	if err := c.startEntry("entry-1", "a"); err != nil {
 		t.Fatal(err)
 	}
-	c.configured(t, []string{"entry-1"})
+	c.applyAndWait(t, []string{"entry-1"})
 	return c, url
 }
 
-// serve runs a stand-in's handler on a loopback port.
+// serve serves a stand-in's handler on a loopback port and returns its URL.
 func (c *cluster) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -130,7 +132,7 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// close ends everything the cluster started.
+// close kills the processes and stops the relays and stand-ins of the cluster.
 func (c *cluster) close() {
 	c.mu.Lock()
 	procs := make([]*process, 0, len(c.procs))
@@ -151,10 +153,10 @@
 	}
 }
 
-func (c *cluster) common(name, zone, peer, http string) []string {
+func (c *cluster) commonFlags(name, zone, peerAddr, http string) []string {
 	args := []string{
-		"--name", name, "--zone", zone, "--peer-listen", peer, "--http-listen", http,
-		"--table-url", c.stores, "--objects-url", c.stores, "--vms-url", c.stores,
+		"--name", name, "--zone", zone, "--peer-listen", peerAddr, "--http-listen", http,
+		"--table-url", c.storesURL, "--objects-url", c.storesURL, "--vms-url", c.storesURL,
 		"--vms-every", "200ms", "--config-every", "500ms", "--heartbeat", "200ms",
 	}
 	return args
@@ -184,51 +186,54 @@
 	return nil
 }
 
-// alive waits until a process serves; one that does not is told with its latest lines.
-func (c *cluster) alive(p *process) error {
-	err := waitFor(func() error { return get(p.http + "/livez") })
+// waitServing waits until a process answers its liveness probe. The error quotes
+// the end of the process's log.
+func (c *cluster) waitServing(p *process) error {
+	err := waitFor(func() error { return checkOK(p.baseURL + "/livez") })
 	if err == nil {
 		return nil
 	}
 	log, readErr := os.ReadFile(filepath.Join(c.dir, p.name+".log"))
-	return errors.Join(fmt.Errorf("%s at %s: %w; its latest lines:\n%s", p.name, p.http, err, log[max(len(log)-mostTail, 0):]), readErr)
+	return errors.Join(fmt.Errorf("%s at %s: %w; end of its log:\n%s", p.name, p.baseURL, err, log[max(len(log)-maxLogTail, 0):]), readErr)
 }
 
-// start runs a process and lists its VM behind a relay that can be cut.
+// start starts a process and puts its VM on the VM list. The listed address is that
+// of a relay, so that tests can cut the link to the process.
 func (c *cluster) start(name, zone string, role []string) error {
 	return c.startWith(name, zone, role, nil)
 }
 
-// startWith is start with further flags, which win over the scenarios' own.
+// startWith does what start does, with additional flags that override the test
+// defaults.
 func (c *cluster) startWith(name, zone string, role, flags []string) error {
-	peer, err := standin.FreePort()
+	peerAddr, err := standin.FreePort()
 	if err != nil {
 		return err
 	}
-	web, err := standin.FreePort()
+	httpAddr, err := standin.FreePort()
 	if err != nil {
 		return err
 	}
-	args := append([]string{role[0]}, c.common(name, zone, peer, web)...)
+	args := append([]string{role[0]}, c.commonFlags(name, zone, peerAddr, httpAddr)...)
 	args = append(args, role[1:]...)
-	p := &process{name: name, args: append(args, flags...), peer: peer, http: "http://" + web}
+	p := &process{name: name, args: append(args, flags...), peerAddr: peerAddr, baseURL: "http://" + httpAddr}
 	if err := c.launch(p); err != nil {
 		return err
 	}
-	relay, err := standin.NewRelay("127.0.0.1:0", peer)
+	relay, err := standin.NewRelay("127.0.0.1:0", peerAddr)
 	if err != nil {
 		return err
 	}
 	c.relays[name] = relay
 	c.listVM(name, zone, "live")
-	return c.alive(p)
+	return c.waitServing(p)
 }
 
 func (c *cluster) listVM(name, zone, state string) {
-	c.control(c.stores+"/control/vms", map[string]string{"name": name, "zone": zone, "address": c.relays[name].Addr(), "state": state})
+	c.control(c.storesURL+"/control/vms", map[string]string{"name": name, "zone": zone, "address": c.relays[name].Addr(), "state": state})
 }
 
-// control tells a stand-in something.
+// control sends a value as JSON to a control endpoint of a stand-in.
 func (c *cluster) control(url string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -247,13 +252,13 @@
 
 func (c *cluster) startEngine(name, zone string, speed float64) error {
 	_, err := c.startEngineWith(name, zone, standin.EngineSettings{
-		Model: engineSize(), Speed: speed, LoadLag: 200 * time.Millisecond, Seed: 1,
+		Model: defaultEngineModel(), Speed: speed, LoadLag: 200 * time.Millisecond, Seed: 1,
 	})
 	return err
 }
 
-// startEngineWith starts an engine of the given kind and its sidecar, and
-// returns the engine's own address.
+// startEngineWith starts an engine with the given settings and its sidecar, and
+// returns the engine's own URL.
 func (c *cluster) startEngineWith(name, zone string, settings standin.EngineSettings) (string, error) {
 	e := standin.NewEngine(settings)
 	go e.Run(c.ctx)
@@ -261,7 +266,7 @@
 	if err != nil {
 		return "", err
 	}
-	c.engines[name], c.urls[name] = e, url
+	c.engines[name], c.upstreamURLs[name] = e, url
 	return url, c.start(name, zone, []string{"sidecar", "--upstream", name, "--upstream-url", url})
 }
 
@@ -270,7 +275,7 @@
 	if err != nil {
 		return err
 	}
-	c.services[name], c.urls[name] = url, url
+	c.services[name], c.upstreamURLs[name] = url, url
 	return c.start(name, zone, []string{"sidecar", "--upstream", name, "--upstream-url", url})
 }
 
@@ -278,14 +283,15 @@
 	return c.start(name, zone, []string{"entry"})
 }
 
-// restart runs a killed process again, as a new incarnation at the same place.
+// restart waits until a process has exited and starts it again, as a new
+// incarnation with the same name and addresses.
 func (c *cluster) restart(name string) error {
 	p := c.proc(name)
 	<-p.done
 	if err := c.launch(p); err != nil {
 		return err
 	}
-	return c.alive(p)
+	return c.waitServing(p)
 }
 
 func (c *cluster) proc(name string) *process {
@@ -302,22 +308,23 @@
 	if err := p.cmd.Process.Signal(s); err != nil || s != syscall.SIGSTOP {
 		return err
 	}
-	return waitFor(func() error { return stopped(p.cmd.Process.Pid) })
+	return waitFor(func() error { return checkStopped(p.cmd.Process.Pid) })
 }
 
-var errRunning = errors.New("process still runs")
+var errNotStopped = errors.New("process is not stopped yet")
 
-// stopped reports whether the kernel has stopped a process: the call that sends
-// SIGSTOP returns before that, and the process may serve on for a moment.
-func stopped(pid int) error {
+// checkStopped returns an error until the kernel has stopped a process. The system
+// call that sends SIGSTOP returns earlier, and the process may go on serving for a
+// moment.
+func checkStopped(pid int) error {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return err
 	}
-	// The state stands behind the name, which is in parentheses.
+	// The state follows the process name, which is in parentheses.
 	_, rest, _ := strings.Cut(string(b), ") ")
 	if !strings.HasPrefix(rest, "T") {
-		return fmt.Errorf("%w: state %.1s", errRunning, rest)
+		return fmt.Errorf("%w: state %.1s", errNotStopped, rest)
 	}
 	return nil
 }
@@ -331,30 +338,30 @@
 	}
 }
 
-// runs returns how often each call ran, by the services' own counts.
-func (c *cluster) runs() (map[string]int, error) {
+// runCounts returns how many times each call ran, from the services' own counters.
+func (c *cluster) runCounts() (map[string]int, error) {
 	total := map[string]int{}
 	for _, url := range c.services {
 		resp, err := http.Get(url + "/control/runs")
 		if err != nil {
 			return nil, err
 		}
-		one := map[string]int{}
-		err = json.NewDecoder(resp.Body).Decode(&one)
+		perService := map[string]int{}
+		err = json.NewDecoder(resp.Body).Decode(&perService)
 		_ = resp.Body.Close()
 		if err != nil {
 			return nil, err
 		}
-		for id, n := range one {
+		for id, n := range perService {
 			total[strings.TrimPrefix(id, "demo/")] += n
 		}
 	}
 	return total, nil
 }
 
-// counts returns what an engine counted.
-func (c *cluster) counts(engine string) (map[string]int, error) {
-	resp, err := http.Get(c.urls[engine] + "/control/counts")
+// engineCounts returns an engine's own counters.
+func (c *cluster) engineCounts(engine string) (map[string]int, error) {
+	resp, err := http.Get(c.upstreamURLs[engine] + "/control/counts")
 	if err != nil {
 		return nil, err
 	}
@@ -363,14 +370,15 @@
 	return out, json.NewDecoder(resp.Body).Decode(&out)
 }
 
-// ready waits until all entries serve with all listed sidecars connected.
-func (c *cluster) ready(entries ...string) error {
+// waitReady waits until the entries are ready and report all listed processes as up
+// at the current version.
+func (c *cluster) waitReady(entries ...string) error {
 	for _, name := range entries {
 		err := waitFor(func() error {
-			if err := get(c.proc(name).http + "/readyz"); err != nil {
+			if err := checkOK(c.proc(name).baseURL + "/readyz"); err != nil {
 				return err
 			}
-			return c.allUp(name)
+			return c.checkAllUp(name)
 		})
 		if err != nil {
 			return fmt.Errorf("entry %s: %w", name, err)
@@ -393,7 +401,7 @@
 
 func (c *cluster) status(entry string) (statusPage, error) {
 	var s statusPage
-	r, err := http.NewRequest(http.MethodGet, c.proc(entry).http+"/admin/v1/status", nil)
+	r, err := http.NewRequest(http.MethodGet, c.proc(entry).baseURL+"/admin/v1/status", nil)
 	if err != nil {
 		return s, err
 	}
@@ -406,7 +414,7 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-func (c *cluster) allUp(entry string) error {
+func (c *cluster) checkAllUp(entry string) error {
 	s, err := c.status(entry)
 	if err != nil {
 		return err
@@ -422,7 +430,7 @@
 	return nil
 }
 
-func get(url string) error {
+func checkOK(url string) error {
 	client := &http.Client{Timeout: time.Second}
 	resp, err := client.Get(url)
 	if err != nil {
@@ -436,15 +444,16 @@
 	return nil
 }
 
-// waitFor tries f until it succeeds. The limit is generous: no verdict hangs
-// on how fast the machine is.
+// waitFor retries f until it succeeds or waitTimeout has passed, and returns the
+// last error. The timeout is long, so that results don't depend on the speed of the
+// machine.
 func waitFor(f func() error) error {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := f()
 		if err == nil || time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/scenario/measure_test.go
+++ b/internal/scenario/measure_test.go
@@ -19,14 +19,14 @@
 	"github.com/sparshore/sparshore/internal/standin"
 )
 
-// The measurements print figures and judge nothing but correctness; they run
-// only when asked for, by make measure.
+// measureFlag enables the measurements, which run only on request, for example by make
+// measure. They print figures and fail only on incorrect results.
 var measureFlag = flag.Bool("measure", false, "run the measurements")
 
-func needMeasure(t *testing.T) {
+func requireMeasureFlag(t *testing.T) {
 	t.Helper()
 	if !*measureFlag {
-		t.Skip("a measurement: run with -args -measure")
+		t.Skip("measurements are disabled; enable them with -args -measure")
 	}
 }
 
@@ -35,11 +35,12 @@
 	return v[min(len(v)-1, int(q*float64(len(v))))]
 }
 
-// TestMeasureRollout submits 100 changes to a deployment of today's size: four
-// zones, ten engines, four services, three entries.
+// TestMeasureRollout submits 100 changes to a deployment of the current size,
+// with ten engines, four services and three entries. It measures the time until each
+// change is active everywhere.
 func TestMeasureRollout(t *testing.T) {
-	needMeasure(t)
-	c, entries := deployed(t, 3, 10, 4, 1, "SPARSHORE_VMS_EVERY=1s", "SPARSHORE_CONFIG_EVERY=5s")
+	requireMeasureFlag(t)
+	c, entries := deployCluster(t, 3, 10, 4, 1, "SPARSHORE_VMS_EVERY=1s", "SPARSHORE_CONFIG_EVERY=5s")
 	var took []time.Duration
 	for n := range 100 {
 		file := filepath.Join(c.dir, "change.yaml")
@@ -53,14 +54,15 @@
 			t.Fatalf("change %d: %v: %s", n, err, out)
 		}
 	}
-	t.Logf("100 changes, 17 processes, in force everywhere: p50 %v p99 %v max %v", quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1))
+	t.Logf("100 changes, 17 processes, time until active everywhere: p50 %v p99 %v max %v", quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1))
 }
 
-// TestMeasureRejoin cuts one process off through a change of the others' VM
-// list and measures how soon it has the version in force after healing.
+// TestMeasureRejoin cuts the link to one process, marks its VM as gone and applies a
+// change without it. It measures the time from healing the link until the process has
+// the new version and is usable.
 func TestMeasureRejoin(t *testing.T) {
-	needMeasure(t)
-	c, entries := deployed(t, 1, 2, 0, 1)
+	requireMeasureFlag(t)
+	c, entries := deployCluster(t, 1, 2, 0, 1)
 	var took []time.Duration
 	for n := range 10 {
 		c.relays["eng-2"].Cut(true)
@@ -71,15 +73,15 @@
 		c.relays["eng-2"].Cut(false)
 		began := time.Now()
 		c.listVM("eng-2", "b", "live")
-		if err := c.ready(entries...); err != nil {
+		if err := c.waitReady(entries...); err != nil {
 			t.Fatal(err)
 		}
 		took = append(took, time.Since(began))
 	}
-	t.Logf("10 rejoins, from healing to the version in force and usable: p50 %v max %v", quantile(took, 0.5), quantile(took, 1))
+	t.Logf("10 rejoins, time from healing the link until up at the active version: p50 %v max %v", quantile(took, 0.5), quantile(took, 1))
 }
 
-// usage is what a process has used so far.
+// usage is the CPU time that a process has used and its resident memory in bytes.
 type usage struct {
 	cpu time.Duration
 	rss int
@@ -87,7 +89,7 @@
 
 const clockTick = 10 * time.Millisecond
 
-func usageOf(pid int) (usage, error) {
+func processUsage(pid int) (usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return usage{}, err
@@ -99,10 +101,10 @@
 	return usage{cpu: time.Duration(user+system) * clockTick, rss: pages * os.Getpagesize()}, nil
 }
 
-// TestMeasurePath compares an engine asked directly and through entry and
-// sidecar, in one run.
+// TestMeasurePath compares the latency of requests sent directly to an engine with
+// requests through entry and sidecar, in the same run.
 func TestMeasurePath(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	for _, streams := range []int{1, 32, 256} {
 		t.Run(fmt.Sprint(streams), func(t *testing.T) { measurePath(t, streams) })
 	}
@@ -116,7 +118,7 @@
 
 func measurePath(t *testing.T, streams int) {
 	t.Helper()
-	c, url := withEngine(t, fastEngine(), "SPARSHORE_TOKEN_GAP=0s", "SPARSHORE_BLOCKS=1000000", "SPARSHORE_MAX_BATCH=1024")
+	c, url := deployWithEngine(t, fastEngine(), "SPARSHORE_TOKEN_GAP=0s", "SPARSHORE_BLOCKS=1000000", "SPARSHORE_MAX_BATCH=1024")
 	entry, side := c.proc("entry-1").cmd.Process.Pid, c.proc("eng-1").cmd.Process.Pid
 	o := loadgen.Options{Key: apiKey, Model: modelName, Requests: streams, Rate: float64(streams) * 2, Prompt: 64, Output: 300, MaxOutput: 300, Within: time.Minute}
 	run := func(address string) loadgen.Report {
@@ -128,20 +130,20 @@
 		}
 		return r
 	}
-	run(c.proc("entry-1").http) // warm
+	run(c.proc("entry-1").baseURL) // warm-up
 	direct := run(url)
-	e0, _ := usageOf(entry)
-	s0, _ := usageOf(side)
-	through := run(c.proc("entry-1").http)
-	e1, _ := usageOf(entry)
-	s1, _ := usageOf(side)
+	e0, _ := processUsage(entry)
+	s0, _ := processUsage(side)
+	through := run(c.proc("entry-1").baseURL)
+	e1, _ := processUsage(entry)
+	s1, _ := processUsage(side)
 	perThousand := func(d time.Duration) float64 { return 1000 * d.Seconds() * 1000 / float64(through.Tokens) }
 	t.Logf("%d streams: first token p50 %.1f -> %.1f ms, p99 %.1f -> %.1f ms; gap p50 %.2f -> %.2f ms, p99 %.2f -> %.2f ms; CPU per 1,000 tokens entry %.2f ms, sidecar %.2f ms; resident entry %d KB, sidecar %d KB",
 		streams, direct.FirstP50, through.FirstP50, direct.FirstP99, through.FirstP99, direct.GapP50, through.GapP50, direct.GapP99, through.GapP99,
 		perThousand(e1.cpu-e0.cpu), perThousand(s1.cpu-s0.cpu), e1.rss/1024, s1.rss/1024)
 }
 
-// largeConfig is a configuration with many accounts.
+// largeConfig returns a configuration with many accounts.
 func largeConfig(base string, accounts int) string {
 	var b strings.Builder
 	b.WriteString(base)
@@ -151,12 +153,12 @@
 	return b.String()
 }
 
-// TestMeasureDecision runs the decision, admit-all and fixed limits end to end
-// through real processes over the same seeded load. A sidecar that is told of
-// endless memory admits everything up to its batch limit, and the engine
-// preempts by itself.
+// TestMeasureDecision compares the admission decision with admit-all and fixed
+// concurrency limits, end to end through real processes under the same seeded load.
+// For the baselines the sidecar is configured with more blocks than it can use up, so
+// it admits everything up to its batch limit and the engine preempts by itself.
 func TestMeasureDecision(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	contenders := []struct {
 		name     string
 		settings []string
@@ -176,15 +178,15 @@
 	model := enginemodel.DefaultSettings()
 	model.Blocks = 600
 	engine := standin.EngineSettings{Model: model, Speed: 3, LoadLag: 500 * time.Millisecond, Seed: 1}
-	c, _ := withEngine(t, engine, append(settings, "SPARSHORE_START_WITHIN=7s")...)
+	c, _ := deployWithEngine(t, engine, append(settings, "SPARSHORE_START_WITHIN=7s")...)
 	r, err := loadgen.Run(context.Background(), loadgen.Options{
-		URLs: []string{c.proc("entry-1").http}, Key: apiKey, Model: modelName, Requests: 1000, Rate: 36,
+		URLs: []string{c.proc("entry-1").baseURL}, Key: apiKey, Model: modelName, Requests: 1000, Rate: 36,
 		Seed: 5, Prompt: 64, Output: 60, Spread: 1.2, MaxOutput: 4096, Within: 2 * time.Minute,
 	})
 	if err != nil || r.Breaches > 0 {
 		t.Fatalf("%s: %+v, %v", name, r, err)
 	}
-	counts, err := c.counts("eng-1")
+	counts, err := c.engineCounts("eng-1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,11 +194,12 @@
 		name, counts["preemptions"], counts["order_pause"], r.StallP99, r.StallSum, r.GapP50, r.GapP99, r.FirstP50, r.FirstP99, r.Whole, r.Refused, float64(r.Tokens)/r.Seconds)
 }
 
-// TestMeasureFailover freezes or kills an upstream and measures how long a
-// request that goes there first needs for its first token. The heartbeat is as
-// slow as in a deployment of the target size, so only probes on use can tell.
+// TestMeasureFailover freezes the upstream that a request is routed to first and
+// measures the time until the request completes on another one. Heartbeats are as slow
+// as in a deployment of the target size, so only a probe when the upstream is used can
+// detect the failure in time.
 func TestMeasureFailover(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	c, err := newCluster(t.TempDir(), "SPARSHORE_PINGS=0.05")
 	if err != nil {
 		t.Fatal(err)
@@ -209,19 +212,20 @@
 	if err := c.apply(entries[0], 0, c.configText()); err != nil {
 		t.Fatal(err)
 	}
-	if err := waitFor(func() error { return get(c.proc(entries[0]).http + "/readyz") }); err != nil {
+	if err := waitFor(func() error { return checkOK(c.proc(entries[0]).baseURL + "/readyz") }); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2 * time.Second)
 	var took []time.Duration
-	// More in a row would use up the pool's retry budget, which saves up ten.
+	// More requests in a row would exhaust the pool's retry budget, which holds at most
+	// ten retries.
 	for n := range 9 {
-		// The entry prefers its own zone, where eng-1 is.
+		// The entry prefers upstreams in its own zone, where eng-1 is.
 		if err := c.signal("eng-1", syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
-		a := newAnswer()
-		a.ask(c.proc(entries[0]).http, 1)
+		a := newStreamResult()
+		a.sendStream(c.proc(entries[0]).baseURL, 1)
 		if err := c.signal("eng-1", syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
@@ -231,5 +235,5 @@
 		took = append(took, a.took)
 		time.Sleep(4 * time.Second)
 	}
-	t.Logf("9 requests to a frozen upstream, whole answer of one token: p50 %v max %v", quantile(took, 0.5), quantile(took, 1))
+	t.Logf("9 requests to a frozen upstream, complete response of one token: p50 %v max %v", quantile(took, 0.5), quantile(took, 1))
 }
--- a/internal/scenario/openai_test.go
+++ b/internal/scenario/openai_test.go
@@ -9,11 +9,11 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestUnmodifiedOpenAIClient uses the public client library with nothing but
-// base URL and key set.
+// TestUnmodifiedOpenAIClient guards against incompatibilities with the public OpenAI
+// client library, configured with only a base URL, an API key and no retries.
 func TestUnmodifiedOpenAIClient(t *testing.T) {
-	c, entries := deployed(t, 1, 1, 0, 4)
-	client := openai.NewClient(option.WithBaseURL(c.proc(entries[0]).http+"/v1"), option.WithAPIKey(apiKey), option.WithMaxRetries(0))
+	c, entries := deployCluster(t, 1, 1, 0, 4)
+	client := openai.NewClient(option.WithBaseURL(c.proc(entries[0]).baseURL+"/v1"), option.WithAPIKey(apiKey), option.WithMaxRetries(0))
 	ctx := t.Context()
 	params := openai.ChatCompletionNewParams{
 		Model:         modelName,
@@ -26,7 +26,7 @@
 		acc := openai.ChatCompletionAccumulator{}
 		for stream.Next() {
 			if !acc.AddChunk(stream.Current()) {
-				t.Fatal("a chunk does not go with those before")
+				t.Fatal("a chunk is inconsistent with the previous chunks")
 			}
 		}
 		if err := stream.Err(); err != nil {
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -1,6 +1,7 @@
-// Package scenario runs scripted failures against a deployment of separate
-// processes on loopback. The verdict comes only from what callers received and
-// what the upstreams counted.
+// Package scenario holds the end-to-end tests. Each test starts a deployment of
+// separate processes on loopback, injects failures and checks the guarantees to
+// callers. The verdict depends only on what callers received and on the upstreams'
+// own counters, not on what the system reports about itself.
 package scenario
 
 import (
@@ -35,37 +36,40 @@
 	})
 }
 
-// standinEngine is an engine's handler on real time.
-func standinEngine(c *cluster) http.Handler {
-	e := standin.NewEngine(standin.EngineSettings{Model: engineSize(), Speed: 1, Seed: 1})
+// newEngineHandler starts a stand-in engine that runs in real time and returns
+// its HTTP handler.
+func newEngineHandler(c *cluster) http.Handler {
+	e := standin.NewEngine(standin.EngineSettings{Model: defaultEngineModel(), Speed: 1, Seed: 1})
 	go e.Run(c.ctx)
 	return e.Handler()
 }
 
-func engineSize() enginemodel.Settings { return enginemodel.DefaultSettings() }
+func defaultEngineModel() enginemodel.Settings { return enginemodel.DefaultSettings() }
 
-// world is the state of one script.
-type world struct {
+// scriptState is the state that the commands of one script share.
+type scriptState struct {
 	cluster *cluster
-	asks    map[string]*answer
+	streams map[string]*streamResult
 	calls   map[string]*call
 	keys    map[string]string
 	entries []string
 }
 
-type worldKey struct{}
+type scriptStateKey struct{}
 
-func worldOf(ts *testscript.TestScript) *world { return ts.Value(worldKey{}).(*world) }
+func stateOf(ts *testscript.TestScript) *scriptState {
+	return ts.Value(scriptStateKey{}).(*scriptState)
+}
 
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/scripts",
 		Setup: func(env *testscript.Env) error {
-			w := &world{asks: map[string]*answer{}, calls: map[string]*call{}, keys: map[string]string{}}
-			env.Values[worldKey{}] = w
+			state := &scriptState{streams: map[string]*streamResult{}, calls: map[string]*call{}, keys: map[string]string{}}
+			env.Values[scriptStateKey{}] = state
 			env.Defer(func() {
-				if w.cluster != nil {
-					w.cluster.close()
+				if state.cluster != nil {
+					state.cluster.close()
 				}
 			})
 			return nil
@@ -106,7 +110,7 @@
 	}
 }
 
-// options reads name=value arguments; what has no "=" is returned as it is.
+// options splits arguments into name=value pairs and plain arguments without "=".
 func options(args []string) (plain []string, named map[string]string) {
 	named = map[string]string{}
 	for _, a := range args {
@@ -119,31 +123,33 @@
 	return plain, named
 }
 
-func number(named map[string]string, name string, otherwise int) int {
+func intOption(named map[string]string, name string, otherwise int) int {
 	if n, err := strconv.Atoi(named[name]); err == nil {
 		return n
 	}
 	return otherwise
 }
 
-// deploy [entries=N] [engines=N] [services=N] [speed=N] [SETTING=V...]: starts a
-// deployment over zones a and b and brings a configuration into force.
+// cmdDeploy implements deploy [entries=N] [engines=N] [services=N] [speed=N]
+// [SETTING=V...]: it starts a deployment across zones a and b and activates a
+// configuration for it.
 func cmdDeploy(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	state := stateOf(ts)
 	_, named := options(args)
 	c, err := newCluster(ts.Getenv("WORK"), environment(named)...)
 	check(ts, err)
-	w.cluster = c
-	w.entries, err = c.deploy(number(named, "entries", 1), number(named, "engines", 0), number(named, "services", 0), number(named, "speed", 1))
+	state.cluster = c
+	state.entries, err = c.deploy(intOption(named, "entries", 1), intOption(named, "engines", 0), intOption(named, "services", 0), intOption(named, "speed", 1))
 	check(ts, err)
-	check(ts, c.apply(w.entries[0], 0, c.configText()))
-	check(ts, c.ready(w.entries...))
+	check(ts, c.apply(state.entries[0], 0, c.configText()))
+	check(ts, c.waitReady(state.entries...))
 	for name := range c.services {
-		check(ts, c.logged(name, "lease-acquired", 1))
+		check(ts, c.waitLogged(name, "lease-acquired", 1))
 	}
 }
 
-// environment returns the settings among a script's arguments.
+// environment returns the settings among a command's arguments as environment
+// variables.
 func environment(named map[string]string) []string {
 	out := []string{"SPARSHORE_SKEW=20ms"}
 	for k, v := range named {
@@ -178,7 +184,7 @@
 	return names, nil
 }
 
-// configText is the configuration of what the cluster runs.
+// configText returns a configuration that lists the running upstreams.
 func (c *cluster) configText() string {
 	var b strings.Builder
 	pool := func(name, kind string, upstreams []string) {
@@ -209,15 +215,15 @@
 	return strings.Replace(b.String(), "models:\naccounts", "models: []\naccounts", 1)
 }
 
-// apply submits a configuration and waits until it is accepted. All processes
-// may still be connecting, so a refusal for that reason is asked again.
+// apply submits a configuration and waits until it is accepted. It retries,
+// since the change is refused while processes are still connecting.
 func (c *cluster) apply(entry string, base int64, source string) error {
 	file := filepath.Join(c.dir, "applied.yaml")
 	if err := os.WriteFile(file, []byte(source), 0o644); err != nil {
 		return err
 	}
-	// Each try asks for the same change: one that was committed and not yet in
-	// force everywhere would refuse another change from the same base.
+	// Every attempt uses the same change ID. If an earlier attempt was committed but
+	// is not active everywhere yet, a new ID with the same base would be refused.
 	change := fmt.Sprintf("apply-%d-%d", base, time.Now().UnixNano())
 	return waitFor(func() error {
 		out, err := c.ctl(entry, "config", "apply", "--base", strconv.FormatInt(base, 10), "--change", change, file).CombinedOutput()
@@ -231,7 +237,7 @@
 func (c *cluster) ctl(entry string, args ...string) *exec.Cmd {
 	cmd := exec.Command("sparshorectl", args...)
 	cmd.Dir = c.dir
-	cmd.Env = append(os.Environ(), "SPARSHORE_SERVER="+c.proc(entry).http, "SPARSHORE_TOKEN="+opToken)
+	cmd.Env = append(os.Environ(), "SPARSHORE_SERVER="+c.proc(entry).baseURL, "SPARSHORE_TOKEN="+opToken)
 	return cmd
 }
 
@@ -239,23 +245,25 @@
 	"kill": syscall.SIGKILL, "freeze": syscall.SIGSTOP, "thaw": syscall.SIGCONT, "stop": syscall.SIGTERM, "reload": syscall.SIGHUP,
 }
 
-// signal kill|freeze|thaw|stop|reload NAME.
+// cmdSignal implements signal kill|freeze|thaw|stop|reload NAME: it sends the
+// signal to the process and, after kill, waits until the process has exited.
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
+	c := stateOf(ts).cluster
 	check(ts, c.signal(args[1], signals[args[0]]))
 	if args[0] == "kill" {
 		<-c.proc(args[1]).done
 	}
 }
 
-// restart NAME: a new incarnation at the same place.
+// cmdRestart implements restart NAME: it starts a new incarnation with the same
+// name and addresses.
 func cmdRestart(ts *testscript.TestScript, _ bool, args []string) {
-	check(ts, worldOf(ts).cluster.restart(args[0]))
+	check(ts, stateOf(ts).cluster.restart(args[0]))
 }
 
-// gone NAME: waits until the process has ended by itself.
+// cmdGone implements gone NAME: it waits until the process has exited.
 func cmdGone(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
+	c := stateOf(ts).cluster
 	check(ts, waitFor(func() error {
 		if !c.exited(args[0]) {
 			return fmt.Errorf("%s still runs", args[0])
@@ -264,9 +272,10 @@
 	}))
 }
 
-// cut on|off|reset NAME: the link to the process.
+// cmdCut implements cut on|off|reset NAME: it cuts the link to the process,
+// restores the link, or resets the open connections.
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	r := worldOf(ts).cluster.relays[args[1]]
+	r := stateOf(ts).cluster.relays[args[1]]
 	switch args[0] {
 	case "reset":
 		r.Reset()
@@ -275,140 +284,147 @@
 	}
 }
 
-// outage [outage=true] [vm_outage=true] [lose=N] [lose_objects=N] [delay=MS]: the platform's stores.
+// cmdOutage implements outage [outage=true] [vm_outage=true] [lose=N]
+// [lose_objects=N] [delay=MS]: it sets the faults of the platform's stores.
 func cmdOutage(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
+	c := stateOf(ts).cluster
 	_, named := options(args)
-	c.control(c.stores+"/control/faults", map[string]any{
+	c.control(c.storesURL+"/control/faults", map[string]any{
 		"outage": named["outage"] == "true", "vm_outage": named["vm_outage"] == "true",
-		"lose_replies": number(named, "lose", 0), "lose_object_replies": number(named, "lose_objects", 0), "delay_ms": number(named, "delay", 0),
+		"lose_replies": intOption(named, "lose", 0), "lose_object_replies": intOption(named, "lose_objects", 0), "delay_ms": intOption(named, "delay", 0),
 	})
 }
 
-// table backup|restore: copies the platform's table, or restores it from the latest copy.
+// cmdTable implements table backup|restore: it backs up the platform's table or
+// restores the latest backup.
 func cmdTable(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
-	c.control(c.stores+"/control/"+args[0], nil)
+	c := stateOf(ts).cluster
+	c.control(c.storesURL+"/control/"+args[0], nil)
 }
 
-// list NAME ZONE STATE: the VM list's word on a process's VM.
+// cmdList implements list NAME ZONE STATE: it sets the state of the process's VM
+// in the platform's VM list.
 func cmdList(ts *testscript.TestScript, _ bool, args []string) {
-	worldOf(ts).cluster.listVM(args[0], args[1], args[2])
+	stateOf(ts).cluster.listVM(args[0], args[1], args[2])
 }
 
-// ask ID entry=NAME [out=N]: a streamed request in the background; with an ID
-// that was asked before, the caller goes on with its stream.
+// cmdAsk implements ask ID entry=NAME [out=N]: it sends a streaming request in the
+// background. If the ID was used before, the caller resumes that stream.
 func cmdAsk(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	state := stateOf(ts)
 	plain, named := options(args)
-	a := w.asks[plain[0]]
-	if a == nil {
-		a = newAnswer()
-		w.asks[plain[0]] = a
+	stream := state.streams[plain[0]]
+	if stream == nil {
+		stream = newStreamResult()
+		state.streams[plain[0]] = stream
 	} else {
-		<-a.done
-		a.done = make(chan struct{})
+		<-stream.done
+		stream.done = make(chan struct{})
 	}
-	url := w.cluster.proc(named["entry"]).http
+	url := state.cluster.proc(named["entry"]).baseURL
 	go func() {
-		defer close(a.done)
-		a.ask(url, number(named, "out", 20))
+		defer close(stream.done)
+		stream.sendStream(url, intOption(named, "out", 20))
 	}()
 }
 
-// tokens ID N: waits until the caller has at least N tokens.
+// cmdTokens implements tokens ID N: it waits until the caller has received at
+// least N tokens.
 func cmdTokens(ts *testscript.TestScript, _ bool, args []string) {
-	a := worldOf(ts).asks[args[0]]
+	stream := stateOf(ts).streams[args[0]]
 	want, err := strconv.Atoi(args[1])
 	check(ts, err)
 	check(ts, waitFor(func() error {
-		if n := a.count(); n < want {
-			return fmt.Errorf("caller %s has %d of %d tokens", args[0], n, want)
+		if n := stream.count(); n < want {
+			return fmt.Errorf("caller %s received %d of %d tokens", args[0], n, want)
 		}
 		return nil
 	}))
 }
 
-// answer ID END [tokens=N] [outcome=O] [retry=true]: waits for the stream's end
-// and judges it.
+// cmdAnswer implements answer ID END|END [tokens=N] [outcome=O] [retry=true]: it
+// waits for the end of the stream and checks the tokens and how the stream ended.
 func cmdAnswer(ts *testscript.TestScript, _ bool, args []string) {
 	plain, named := options(args)
-	a := worldOf(ts).asks[plain[0]]
-	<-a.done
-	check(ts, a.check())
-	if !slices.Contains(strings.Split(plain[1], "|"), a.end) {
-		ts.Fatalf("stream %s ended %s (status %d, %s), want %s", plain[0], a.end, a.status, a.cutAt, plain[1])
+	stream := stateOf(ts).streams[plain[0]]
+	<-stream.done
+	check(ts, stream.verifyTokens())
+	if !slices.Contains(strings.Split(plain[1], "|"), stream.end) {
+		ts.Fatalf("stream %s ended %s (status %d, %s), want %s", plain[0], stream.end, stream.status, stream.cutError, plain[1])
 	}
-	if n, ok := named["tokens"]; ok && n != strconv.Itoa(len(a.tokens)) {
-		ts.Fatalf("stream %s has %d tokens, want %s", plain[0], len(a.tokens), n)
+	if n, ok := named["tokens"]; ok && n != strconv.Itoa(len(stream.tokens)) {
+		ts.Fatalf("stream %s has %d tokens, want %s", plain[0], len(stream.tokens), n)
 	}
-	if o, ok := named["outcome"]; ok && o != a.outcome {
-		ts.Fatalf("stream %s: outcome %q, want %q", plain[0], a.outcome, o)
+	if o, ok := named["outcome"]; ok && o != stream.outcome {
+		ts.Fatalf("stream %s: outcome %q, want %q", plain[0], stream.outcome, o)
 	}
-	if named["retry"] == "true" && a.retry == "" {
+	if named["retry"] == "true" && stream.retry == "" {
 		ts.Fatalf("stream %s was refused without Retry-After", plain[0])
 	}
 }
 
-// hangup ID: the caller closes its connection.
+// cmdHangup implements hangup ID: the caller closes its connection.
 func cmdHangup(ts *testscript.TestScript, _ bool, args []string) {
-	a := worldOf(ts).asks[args[0]]
-	a.mu.Lock()
-	a.stop()
-	a.mu.Unlock()
-	<-a.done
+	stream := stateOf(ts).streams[args[0]]
+	stream.mu.Lock()
+	stream.stop()
+	stream.mu.Unlock()
+	<-stream.done
 }
 
-// key returns the caller's key with a script's name: a fresh UUID of version 7
-// for names that start with "dated", the name itself otherwise.
-func (w *world) key(name string) string {
+// key returns the idempotency key for a name in a script. A name that starts with
+// "dated" stands for a UUID of version 7, generated on first use; any other name is
+// the key itself.
+func (state *scriptState) key(name string) string {
 	if !strings.HasPrefix(name, "dated") {
 		return name
 	}
-	if w.keys[name] == "" {
-		w.keys[name] = newDatedKey(time.Now())
+	if state.keys[name] == "" {
+		state.keys[name] = newUUIDv7(time.Now())
 	}
-	return w.keys[name]
+	return state.keys[name]
 }
 
-func newDatedKey(at time.Time) string {
+func newUUIDv7(at time.Time) string {
 	var b [10]byte
 	_, _ = rand.Read(b[:])
 	ms := at.UnixMilli()
 	return fmt.Sprintf("%08x-%04x-7%03x-8%03x-%012x", ms>>16, ms&0xffff, uint(b[0])<<4, uint(b[1])<<4, b[2:8])
 }
 
-// file ID entry=NAME [key=NAME]: a call that may not be repeated, in the
-// background.
+// cmdFile implements file ID entry=NAME [key=NAME]: it sends a non-repeatable call
+// in the background.
 func cmdFile(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	state := stateOf(ts)
 	plain, named := options(args)
-	url, key := w.cluster.proc(named["entry"]).http, w.key(named["key"])
-	background(w, plain[0], func() *call { return file(context.Background(), url, key) })
+	url, key := state.cluster.proc(named["entry"]).baseURL, state.key(named["key"])
+	runInBackground(state, plain[0], func() *call { return sendCall(context.Background(), url, key) })
 }
 
-// settle ID entry=NAME key=NAME: asks what became of a call.
+// cmdSettle implements settle ID entry=NAME key=NAME: it queries the outcome of a
+// call in the background.
 func cmdSettle(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	state := stateOf(ts)
 	plain, named := options(args)
-	url, key := w.cluster.proc(named["entry"]).http, w.key(named["key"])
-	background(w, plain[0], func() *call { return settle(context.Background(), url, key) })
+	url, key := state.cluster.proc(named["entry"]).baseURL, state.key(named["key"])
+	runInBackground(state, plain[0], func() *call { return queryCall(context.Background(), url, key) })
 }
 
-func background(w *world, id string, f func() *call) {
-	holder := &call{done: make(chan struct{})}
-	w.calls[id] = holder
+func runInBackground(state *scriptState, id string, send func() *call) {
+	pending := &call{done: make(chan struct{})}
+	state.calls[id] = pending
 	go func() {
-		got := f()
-		holder.status, holder.outcome, holder.id, holder.retry, holder.err = got.status, got.outcome, got.id, got.retry, got.err
-		close(holder.done)
+		got := send()
+		pending.status, pending.outcome, pending.id, pending.retry, pending.err = got.status, got.outcome, got.id, got.retry, got.err
+		close(pending.done)
 	}()
 }
 
-// outcome ID O|O: waits for a call's answer and compares its outcome; "broken"
-// is a connection that ended without one.
+// cmdOutcome implements outcome ID O|O: it waits for the response to a call and
+// checks the outcome. The outcome is "broken" if the connection ended without a
+// response.
 func cmdOutcome(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).calls[args[0]]
+	c := stateOf(ts).calls[args[0]]
 	<-c.done
 	got := c.outcome
 	if c.err != nil {
@@ -422,35 +438,38 @@
 	}
 }
 
-// runs KEY N|N: how often the services ran the call.
+// cmdRuns implements runs KEY N|N: it checks how many times the services ran the
+// call.
 func cmdRuns(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
-	runs, err := w.cluster.runs()
+	state := stateOf(ts)
+	runs, err := state.cluster.runCounts()
 	check(ts, err)
-	got := strconv.Itoa(runs[w.key(args[0])])
+	got := strconv.Itoa(runs[state.key(args[0])])
 	if !slices.Contains(strings.Split(args[1], "|"), got) {
 		ts.Fatalf("call %s ran %s times, want %s", args[0], got, args[1])
 	}
 }
 
-// ran KEY N: waits until the services have run the call N times.
+// cmdRan implements ran KEY N: it waits until the services have run the call N
+// times.
 func cmdRan(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	state := stateOf(ts)
 	check(ts, waitFor(func() error {
-		runs, err := w.cluster.runs()
+		runs, err := state.cluster.runCounts()
 		if err != nil {
 			return err
 		}
-		if got := strconv.Itoa(runs[w.key(args[0])]); got != args[1] {
+		if got := strconv.Itoa(runs[state.key(args[0])]); got != args[1] {
 			return fmt.Errorf("call %s ran %s times, want %s", args[0], got, args[1])
 		}
 		return nil
 	}))
 }
 
-// fault UPSTREAM name=value...: tells an engine or service to go wrong.
+// cmdFault implements fault UPSTREAM name=value...: it sets the faults of an engine
+// or service.
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
+	c := stateOf(ts).cluster
 	plain, named := options(args)
 	body := map[string]any{}
 	for k, v := range named {
@@ -460,29 +479,30 @@
 			body[k] = v == "true"
 		}
 	}
-	c.control(c.urls[plain[0]]+"/control/faults", body)
+	c.control(c.upstreamURLs[plain[0]]+"/control/faults", body)
 }
 
-// counted ENGINE NAME N: waits until an engine's own count is N.
+// cmdCounted implements counted ENGINE NAME N: it waits until the engine's own
+// counter has the value N.
 func cmdCounted(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
+	c := stateOf(ts).cluster
 	check(ts, waitFor(func() error {
-		counts, err := c.counts(args[0])
+		counts, err := c.engineCounts(args[0])
 		if err != nil {
 			return err
 		}
 		if got := strconv.Itoa(counts[args[1]]); got != args[2] {
-			return fmt.Errorf("engine %s counted %s %s, want %s", args[0], got, args[1], args[2])
+			return fmt.Errorf("engine %s reports %s %s, want %s", args[0], got, args[1], args[2])
 		}
 		return nil
 	}))
 }
 
-// ctl ENTRY ARGS...: runs sparshorectl against an entry; its output can be
-// compared with stdout and stderr.
+// cmdCtl implements ctl ENTRY ARGS...: it runs sparshorectl against an entry. The
+// stdout and stderr commands can then match its output.
 func cmdCtl(ts *testscript.TestScript, neg bool, args []string) {
-	c := worldOf(ts).cluster
-	ts.Setenv("SPARSHORE_SERVER", c.proc(args[0]).http)
+	c := stateOf(ts).cluster
+	ts.Setenv("SPARSHORE_SERVER", c.proc(args[0]).baseURL)
 	ts.Setenv("SPARSHORE_TOKEN", opToken)
 	err := ts.Exec("sparshorectl", args[1:]...)
 	if (err != nil) != neg {
@@ -490,15 +510,17 @@
 	}
 }
 
-// timeline ID ENTRY: the time line of a stream's request, asked at an entry.
+// cmdTimeline implements timeline ID ENTRY: it fetches the timeline of a stream's
+// request from an entry.
 func cmdTimeline(ts *testscript.TestScript, _ bool, args []string) {
-	a := worldOf(ts).asks[args[0]]
-	cmdCtl(ts, false, []string{args[1], "timeline", "--request", a.request})
+	stream := stateOf(ts).streams[args[0]]
+	cmdCtl(ts, false, []string{args[1], "timeline", "--request", stream.requestID})
 }
 
-// state ENTRY NAME STATE|STATE: waits until an entry sees a process so.
+// cmdState implements state ENTRY NAME STATE|STATE: it waits until the entry reports
+// the process in one of the states.
 func cmdState(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
+	c := stateOf(ts).cluster
 	check(ts, waitFor(func() error {
 		s, err := c.status(args[0])
 		if err != nil {
@@ -509,48 +531,50 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("entry %s does not see %s as %s", args[0], args[1], args[2])
+		return fmt.Errorf("entry %s does not report %s as %s", args[0], args[1], args[2])
 	}))
 }
 
-// logged NAME EVENT N: waits until a process has logged an event N times, over
-// all its incarnations.
+// cmdLogged implements logged NAME EVENT N: it waits until the process has logged
+// the event at least N times, counted over all its incarnations.
 func cmdLogged(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[2])
 	check(ts, err)
-	check(ts, worldOf(ts).cluster.logged(args[0], args[1], want))
+	check(ts, stateOf(ts).cluster.waitLogged(args[0], args[1], want))
 }
 
-// mostTail bounds in bytes what is told of a process's log: what shows once can be traced then.
-const mostTail = 6 << 10
+// maxLogTail limits in bytes how much of a process's log an error message quotes.
+// The excerpt helps to trace failures that can't be reproduced.
+const maxLogTail = 6 << 10
 
-func (c *cluster) logged(name, event string, times int) error {
+func (c *cluster) waitLogged(name, event string, times int) error {
 	return waitFor(func() error {
 		b, err := os.ReadFile(filepath.Join(c.dir, name+".log"))
 		if err != nil {
 			return err
 		}
 		if n := strings.Count(string(b), `"msg":"`+event+`"`); n < times {
-			return fmt.Errorf("%s logged %s %d of %d times; its latest lines:\n%s", name, event, n, times, b[max(len(b)-mostTail, 0):])
+			return fmt.Errorf("%s logged %s %d of %d times; end of its log:\n%s", name, event, n, times, b[max(len(b)-maxLogTail, 0):])
 		}
 		return nil
 	})
 }
 
-// pause DURATION: lets time pass for a fault to take hold; no verdict hangs on
-// its length.
+// cmdPause implements pause DURATION: it waits for a fault to take effect. No
+// assertion depends on the duration.
 func cmdPause(ts *testscript.TestScript, _ bool, args []string) {
 	d, err := time.ParseDuration(args[0])
 	check(ts, err)
 	time.Sleep(d)
 }
 
-// race ENTRY ENTRY base=N: two operators submit different changes at once;
-// exactly one must win, and the other be told so.
+// cmdRace implements race ENTRY ENTRY base=N: two operators submit different
+// changes concurrently. Exactly one change must be accepted, and the other operator
+// must be told which change won.
 func cmdRace(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).cluster
+	c := stateOf(ts).cluster
 	plain, named := options(args)
-	base := strconv.Itoa(number(named, "base", 1))
+	base := strconv.Itoa(intOption(named, "base", 1))
 	outs := make([]string, len(plain))
 	var wg sync.WaitGroup
 	for i, entry := range plain {
@@ -572,6 +596,6 @@
 		}
 	}
 	if accepted != 1 || refused != len(plain)-1 {
-		ts.Fatalf("%d won and %d were refused: %q", accepted, refused, outs)
+		ts.Fatalf("%d changes accepted and %d refused: %q", accepted, refused, outs)
 	}
 }
