--- a/spec/epochs.pml
+++ b/spec/epochs.pml
@@ -1,156 +1,170 @@
 /*
- * A store that is restored from an older copy of itself, checked exhaustively by
- * spin.
+ * Model of readers of a store that is restored from older backups of itself,
+ * checked exhaustively by spin.
  *
- * One row counts: an operator writes it with rising numbers of its own, and writes
- * it again when the store has lost it, or never does. Other rows take versions. The
- * store is copied at any moment and comes back from the copy up to twice, in any
- * order with all the rest, so its versions are given out again, fewer or more than
- * were lost. A delegate follows the store; another entry asks the delegate or the
- * store, whichever it reaches, and may be killed and start anew.
+ * The model follows one row. An operator writes it with increasing numbers, and
+ * may or may not write it again after the store lost it. Writes of other rows also
+ * consume versions. The store is backed up at any moment and restored up to twice,
+ * in any order with all other steps. So versions are issued again, and the store
+ * may issue fewer or more of them than the restore lost. A delegate follows the
+ * store. Another entry reads from the delegate or from the store, whichever it
+ * reaches, and may be killed and restarted.
  *
- * What stands for what:
- *   Direct     belief.Follower over the store; its log is relay.Log
- *   Asker      belief.Follower over relay.Store
- *   take       belief.Routes.offer
+ * The parts of the model and the code that they stand for:
+ *   Delegate   belief.Follower over the store; its log is relay.Log
+ *   Entry      belief.Follower over relay.Store
+ *   applyRow   belief.Routes.offer
  *
- * Safeguards, removed by -DNO_<name>:
- *   EPOCH      a version is compared within its epoch only
- *   LIST       changes of a later epoch are not taken over before the whole table
- *   OWN        what a row says of itself decides whether it is newer
- *   LOG        the delegate's log begins anew with the epoch
+ * Safeguards; -DNO_<name> removes one:
+ *   EPOCH      versions are compared only within one epoch
+ *   FULL_READ  a reader that finds a later epoch reads the whole table before it
+ *              applies changes of that epoch
+ *   ROW_ORDER  the operator's number in a row decides which of two rows is newer
+ *   LOG_RESET  the delegate's log starts anew with each epoch
  */
 
-#define MOST_VER 3
-#define MOST_TOP 2
+#define MAX_VERSION 3
+#define MAX_NUMBER 2
 
-byte ver = 0, epoch = 1, row = 0, rowVer = 0;
-byte copyVer = 0, copyRow = 0, copyRowVer = 0;
-byte top = 0;           /* the operator's latest number */
-byte returns = 0, copies = 0;
+byte storeVersion = 0, storeEpoch = 1, storeRow = 0, rowVersion = 0;
+byte backupVersion = 0, backupRow = 0, backupRowVersion = 0;
+byte latestNumber = 0; /* the operator's latest number for the row */
+byte restores = 0, backups = 0;
 
-/* The delegate's log, which holds the row as it got it. */
-byte logEpoch = 0, logVer = 0, logRow = 0, logRowVer = 0;
-bool logKnown = false;
+/* The delegate's log, with the row as the delegate last read it. */
+byte logEpoch = 0, logVersion = 0, logRow = 0, logRowVersion = 0;
+bool logFilled = false;
 
-bool wentBack = false;  /* an entry went back to an older row */
-bool missed = false;    /* an answer confirmed a row that is older than its source's */
+bool rowReverted = false; /* an entry replaced a row by an older one */
+bool staleRowConfirmed = false; /* an entry kept a row older than the source that confirmed it */
 
-inline take(inForce, r) {
-#ifdef NO_OWN
+inline applyRow(inForce, newRow) {
+#ifdef NO_ROW_ORDER
 	if
-	:: r < inForce -> wentBack = true
+	:: newRow < inForce -> rowReverted = true
 	:: else -> skip
 	fi;
-	inForce = r
+	inForce = newRow
 #else
 	if
-	:: r > inForce -> inForce = r
+	:: newRow > inForce -> inForce = newRow
 	:: else -> skip
 	fi
 #endif
 }
 
-inline confirm(inForce, r) {
+inline checkConfirmed(inForce, newRow) {
 	if
-	:: inForce < r -> missed = true
+	:: inForce < newRow -> staleRowConfirmed = true
 	:: else -> skip
 	fi
 }
 
 active proctype Operator() {
 end:	do
-	:: atomic { top < MOST_TOP && ver < MOST_VER -> top++; ver++; row = top; rowVer = ver }
-	:: atomic { row < top && ver < MOST_VER -> ver++; row = top; rowVer = ver }
-	:: atomic { ver < MOST_VER -> ver++ }
+	:: atomic { latestNumber < MAX_NUMBER && storeVersion < MAX_VERSION ->
+		latestNumber++; storeVersion++; storeRow = latestNumber; rowVersion = storeVersion }
+	:: atomic { storeRow < latestNumber && storeVersion < MAX_VERSION ->
+		storeVersion++; storeRow = latestNumber; rowVersion = storeVersion }
+	:: atomic { storeVersion < MAX_VERSION -> storeVersion++ }
 	od
 }
 
 active proctype Store() {
 end:	do
-	:: atomic { copies < 2 -> copies++; copyVer = ver; copyRow = row; copyRowVer = rowVer }
-	:: atomic { returns < 2 -> returns++; epoch++; ver = copyVer; row = copyRow; rowVer = copyRowVer }
+	:: atomic { backups < 2 ->
+		backups++; backupVersion = storeVersion; backupRow = storeRow; backupRowVersion = rowVersion }
+	:: atomic { restores < 2 ->
+		restores++; storeEpoch++;
+		storeVersion = backupVersion; storeRow = backupRow; rowVersion = backupRowVersion }
 	od
 }
 
 /* Reads the whole table. */
-inline list(e, v, inForce, synced, srcEpoch, srcVer, srcRow) {
-	e = srcEpoch;
+inline readTable(readEpoch, readVersion, inForce, synced, srcEpoch, srcVersion, srcRow) {
+	readEpoch = srcEpoch;
 #ifdef NO_EPOCH
-	v = (srcVer > v -> srcVer : v);
+	readVersion = (srcVersion > readVersion -> srcVersion : readVersion);
 #else
-	v = srcVer;
+	readVersion = srcVersion;
 #endif
-	take(inForce, srcRow);
+	applyRow(inForce, srcRow);
 	synced = true;
-	confirm(inForce, srcRow)
+	checkConfirmed(inForce, srcRow)
 }
 
-/* Reads the changes after a version. */
-inline changes(e, v, inForce, synced, srcEpoch, srcVer, srcRow, srcRowVer) {
+/* Reads the changes since the last version read. */
+inline readChanges(readEpoch, readVersion, inForce, synced, srcEpoch, srcVersion, srcRow, srcRowVersion) {
 	if
-	:: v > srcVer -> synced = false
+	:: readVersion > srcVersion -> synced = false
 #ifndef NO_EPOCH
-	:: v <= srcVer && srcEpoch != e ->
-#ifdef NO_LIST
+	:: readVersion <= srcVersion && srcEpoch != readEpoch ->
+#ifdef NO_FULL_READ
 		if
-		:: srcRowVer > v -> take(inForce, srcRow)
+		:: srcRowVersion > readVersion -> applyRow(inForce, srcRow)
 		:: else -> skip
 		fi;
-		e = srcEpoch;
-		v = srcVer;
-		confirm(inForce, srcRow)
+		readEpoch = srcEpoch;
+		readVersion = srcVersion;
+		checkConfirmed(inForce, srcRow)
 #else
 		synced = false
 #endif
-	:: v <= srcVer && srcEpoch == e ->
+	:: readVersion <= srcVersion && srcEpoch == readEpoch ->
 #else
-	:: v <= srcVer ->
+	:: readVersion <= srcVersion ->
 #endif
 		if
-		:: srcRowVer > v -> take(inForce, srcRow)
+		:: srcRowVersion > readVersion -> applyRow(inForce, srcRow)
 		:: else -> skip
 		fi;
-		v = srcVer;
-		confirm(inForce, srcRow)
+		readVersion = srcVersion;
+		checkConfirmed(inForce, srcRow)
 	fi
 }
 
-inline note() {
-#ifdef NO_LOG
-	logVer = (ver > logVer -> ver : logVer);
-	logRow = row; logRowVer = rowVer; logKnown = true
+inline updateLog() {
+#ifdef NO_LOG_RESET
+	logVersion = (storeVersion > logVersion -> storeVersion : logVersion);
+	logRow = storeRow; logRowVersion = rowVersion; logFilled = true
 #else
-	logEpoch = epoch; logVer = ver; logRow = row; logRowVer = rowVer; logKnown = true
+	logEpoch = storeEpoch; logVersion = storeVersion;
+	logRow = storeRow; logRowVersion = rowVersion; logFilled = true
 #endif
 }
 
-active proctype Direct() {
-	byte e = 0, v = 0, inForce = 0;
+active proctype Delegate() {
+	byte readEpoch = 0, readVersion = 0, inForce = 0;
 	bool synced = false;
 end:	do
-	:: atomic { !synced -> list(e, v, inForce, synced, epoch, ver, row); note() }
-	:: atomic { synced -> changes(e, v, inForce, synced, epoch, ver, row, rowVer);
+	:: atomic { !synced ->
+		readTable(readEpoch, readVersion, inForce, synced, storeEpoch, storeVersion, storeRow); updateLog() }
+	:: atomic { synced ->
+		readChanges(readEpoch, readVersion, inForce, synced, storeEpoch, storeVersion, storeRow, rowVersion);
 		if
-		:: synced -> note()
+		:: synced -> updateLog()
 		:: else -> skip
 		fi }
 	od
 }
 
-active proctype Asker() {
-	byte e = 0, v = 0, inForce = 0;
+active proctype Entry() {
+	byte readEpoch = 0, readVersion = 0, inForce = 0;
 	bool synced = false;
 end:	do
-	:: atomic { !synced -> list(e, v, inForce, synced, epoch, ver, row) }
-	:: atomic { synced -> changes(e, v, inForce, synced, epoch, ver, row, rowVer) }
-	:: atomic { !synced && logKnown && logEpoch >= e -> list(e, v, inForce, synced, logEpoch, logVer, logRow) }
-	:: atomic { synced && logKnown && logEpoch >= e && (v <= logVer || logEpoch > e) ->
-		changes(e, v, inForce, synced, logEpoch, logVer, logRow, logRowVer) }
-	/* killed; the next one begins with nothing */
-	:: atomic { e = 0; v = 0; inForce = 0; synced = false }
+	:: atomic { !synced ->
+		readTable(readEpoch, readVersion, inForce, synced, storeEpoch, storeVersion, storeRow) }
+	:: atomic { synced ->
+		readChanges(readEpoch, readVersion, inForce, synced, storeEpoch, storeVersion, storeRow, rowVersion) }
+	:: atomic { !synced && logFilled && logEpoch >= readEpoch ->
+		readTable(readEpoch, readVersion, inForce, synced, logEpoch, logVersion, logRow) }
+	:: atomic { synced && logFilled && logEpoch >= readEpoch &&
+		(readVersion <= logVersion || logEpoch > readEpoch) ->
+		readChanges(readEpoch, readVersion, inForce, synced, logEpoch, logVersion, logRow, logRowVersion) }
+	/* The entry is killed and restarts without state. */
+	:: atomic { readEpoch = 0; readVersion = 0; inForce = 0; synced = false }
 	od
 }
 
-ltl neverBack { [] !wentBack }
-ltl upToDate { [] !missed }
+ltl rowNeverReverts { [] !rowReverted }
+ltl confirmedRowIsCurrent { [] !staleRowConfirmed }
--- a/spec/once.pml
+++ b/spec/once.pml
@@ -1,75 +1,76 @@
 /*
- * The at-most-once and not-run protocol for calls with a caller's key or a
- * ticket, checked exhaustively by spin. `make spec` runs it with all
- * safeguards, where it must hold, and with each safeguard removed in turn,
- * where it must fail.
+ * Model of the at-most-once protocol for calls that carry an idempotency key of
+ * the caller or a ticket. `make spec` checks it exhaustively with spin: with all
+ * safeguards, where every property must hold, and with each safeguard removed,
+ * where the named property must fail.
  *
- * One identifier K, issued at any time: before or after a change of the home's
- * incarnation. Entries pass copies of the call on, also twice and late, to
- * whichever incarnation they believe in; one asks what became of it. Two
- * incarnations A and B of the home follow each other: A may die, freeze between
- * any two steps and wake after B took over, or be cut off from the table until
- * its lease lapses. The upstream does not check fencing tokens unless FENCED is
- * defined. With TICKET, K is bound to A.
+ * One identifier K is issued at any time, before or after the home of K changes
+ * its incarnation. Entries deliver the call several times, also late, to either
+ * incarnation. One entry asks for the outcome of the call. Incarnation B of the
+ * home follows incarnation A: A may crash, freeze between any two steps and resume
+ * after B took over, or lose its connection to the table until its lease lapses.
+ * The upstream checks fencing tokens only with FENCED. With TICKET, K is bound
+ * to A.
  *
- * What stands for what:
- *   Network     sidecar.Server.invoke reached by a copy of the call
- *   Copy        sidecar.Server.runOnce: known, mayRun, callBook.begin, send
- *   mayRun      sidecar.Server.mayRunKey and mayRunTicket
- *   look        sidecar.Server.send, the check right before the send
- *   execute     serviceLink.do: the upstream runs the call
- *   Question    sidecar.Server.settled: tombstone, or what is known
- *   Succession  lease.Lease.Renew by A until it lapses, then by B
+ * The parts of the model and the code that they stand for:
+ *   Network        deliveries of the call to sidecar.Server.invoke
+ *   Delivery       sidecar.Server.runOnce: known, mayRun, callBook.begin, send
+ *   mayRun         sidecar.Server.mayRunKey and mayRunTicket
+ *   checkLease     sidecar.Server.send, the lease check right before the send
+ *   execute        serviceLink.do: the upstream runs the call
+ *   SettleQuery    sidecar.Server.settled: a tombstone, or the recorded state
+ *   LeaseTakeover  lease.Lease.Renew by A until its lease lapses, then by B
  *
- * Safeguards, removed by -DNO_<name>:
- *   RECORD     the call is recorded before the send
- *   AGE        an incarnation refuses keys older than its lease
- *   TOMBSTONE  settle bars an identifier that never arrived
- *   WAIT       a new incarnation waits for the old lease's end
- *   BOUND      a ticket runs in its own incarnation only
- *   LOOK       the lease is looked at again right before the send
+ * Safeguards; -DNO_<name> removes one:
+ *   RECORD          the call is recorded before the send
+ *   KEY_AGE         an incarnation refuses keys that are older than its lease
+ *   TOMBSTONE       settling an identifier that never arrived keeps it from running later
+ *   LEASE_WAIT      a new incarnation waits until the old lease ends
+ *   TICKET_BINDING  a ticket runs only in the incarnation that it is bound to
+ *   RECHECK         the lease is checked again right before the send
  *
- * LOOK is not needed for atMostOnce and notRun: AGE alone keeps them, which the
- * check shows. It is what makes a holder that wakes after its lease do nothing
- * (noLateRun). HOLE lets the process stop between the look and the send; then
- * noLateRun fails, and this is the only hole. An upstream that checks tokens
- * (FENCED) closes it.
+ * atMostOnce and notRunImpliesNoRun hold without RECHECK, because KEY_AGE alone
+ * is enough for them. RECHECK keeps a holder that resumes after its lease ended
+ * from sending the call (noStaleRun). CHECK_GAP allows a pause of the process
+ * between this check and the send. Then noStaleRun fails; no other interleaving
+ * breaks it. An upstream that checks fencing tokens (FENCED) closes this gap.
  */
 
-#define COPIES 3
+#define DELIVERIES 3
 #define ABSENT 0
 #define STARTED 1
 #define DONE 2
-#define BARRED 3
-#define LOST 4
+#define TOMBSTONED 3
+#define ANSWER_LOST 4
 
-/* What callers were told, and what the upstream did. */
-bool saidNotRun, saidDone;
-byte runs, lateRuns;
+/* The outcomes reported to callers, and the runs at the upstream. A stale run is a
+   run by A while B holds the lease. */
+bool reportedNotRun, reportedDone;
+byte runs, staleRuns;
 
 /* The two incarnations: 0 is A, 1 is B. */
-bool alive[2], leaseValid[2], begun;
-byte recordOf[2];
-byte highestFence;
+bool alive[2], leaseValid[2], started;
+byte callState[2];
+byte highestFencingToken;
 
-/* Whether K was issued, and whether B held the lease by then. */
-bool issued, bornUnderB;
+/* Whether K was issued, and whether B held the lease at that time. */
+bool issued, issuedUnderB;
 
-byte copies = COPIES;
-byte questions = 2;
+byte deliveries = DELIVERIES;
+byte settleQueries = 2;
 
-inline mayRun(me, ok) {
+inline mayRun(self, ok) {
 #ifdef TICKET
-#ifdef NO_BOUND
+#ifdef NO_TICKET_BINDING
 	ok = true;
 #else
-	ok = (me == 0);
+	ok = (self == 0);
 #endif
 #else
-	ok = leaseValid[me];
-#ifndef NO_AGE
+	ok = leaseValid[self];
+#ifndef NO_KEY_AGE
 	if
-	:: me == 1 && !bornUnderB -> ok = false
+	:: self == 1 && !issuedUnderB -> ok = false
 	:: else -> skip
 	fi
 #endif
@@ -77,26 +78,26 @@
 }
 
 /* The upstream runs the call, unless it checks fencing tokens and has seen a
-   higher one. */
-inline execute(me) {
+   higher token. */
+inline execute(self) {
 	if
 #ifdef FENCED
-	:: me < highestFence -> recordOf[me] = BARRED; goto over
+	:: self < highestFencingToken -> callState[self] = TOMBSTONED; goto finished
 #endif
 	:: else ->
 		runs++;
 		if
-		:: me == 0 && leaseValid[1] -> lateRuns++
+		:: self == 0 && leaseValid[1] -> staleRuns++
 		:: else -> skip
 		fi
 	fi
 }
 
-inline look(me) {
-#ifndef NO_LOOK
+inline checkLease(self) {
+#ifndef NO_RECHECK
 #ifndef TICKET
 	if
-	:: !leaseValid[me] -> recordOf[me] = BARRED; goto over
+	:: !leaseValid[self] -> callState[self] = TOMBSTONED; goto finished
 	:: else -> skip
 	fi;
 #endif
@@ -104,113 +105,113 @@
 	skip
 }
 
-/* The send, with its answer or without. */
-inline send(me) {
+/* Sends the call to the upstream; the answer arrives or is lost. */
+inline send(self) {
 	if
-	:: alive[me] -> execute(me); recordOf[me] = DONE; saidDone = true
-	:: alive[me] -> execute(me); recordOf[me] = LOST
-	:: !alive[me] -> skip
+	:: alive[self] -> execute(self); callState[self] = DONE; reportedDone = true
+	:: alive[self] -> execute(self); callState[self] = ANSWER_LOST
+	:: !alive[self] -> skip
 	fi
 }
 
-/* One copy of the call arrives at incarnation me and is taken to its end. */
-proctype Copy(byte me) {
+/* Handles one delivery of the call to incarnation self. */
+proctype Delivery(byte self) {
 	bool ok;
 
 	atomic {
 		if
-		:: recordOf[me] == DONE -> saidDone = true; goto over
-		:: recordOf[me] == BARRED -> saidNotRun = true; goto over
-		:: recordOf[me] == STARTED || recordOf[me] == LOST -> goto over
+		:: callState[self] == DONE -> reportedDone = true; goto finished
+		:: callState[self] == TOMBSTONED -> reportedNotRun = true; goto finished
+		:: callState[self] == STARTED || callState[self] == ANSWER_LOST -> goto finished
 		:: else -> skip
 		fi;
-		mayRun(me, ok);
+		mayRun(self, ok);
 		if
-		:: !ok -> goto over
+		:: !ok -> goto finished
 		:: else -> skip
 		fi;
 #ifndef NO_RECORD
-		recordOf[me] = STARTED
+		callState[self] = STARTED
 #endif
 	}
-	/* Here the process may stand still for any time, or die. */
-#ifdef HOLE
-	atomic { look(me) };
-	atomic { send(me) };
+	/* Here the process may pause for any time, or crash. */
+#ifdef CHECK_GAP
+	atomic { checkLease(self) };
+	atomic { send(self) };
 #else
-	atomic { look(me); send(me) };
+	atomic { checkLease(self); send(self) };
 #endif
-over:	skip
+finished:	skip
 }
 
 active proctype Network() {
-	begun;
-	atomic { issued = true; bornUnderB = leaseValid[1] };
+	started;
+	atomic { issued = true; issuedUnderB = leaseValid[1] };
 	do
-	:: copies > 0 && alive[0] -> copies--; run Copy(0)
-	:: copies > 0 && alive[1] -> copies--; run Copy(1)
-	:: copies > 0 -> copies--
-	:: copies == 0 -> break
+	:: deliveries > 0 && alive[0] -> deliveries--; run Delivery(0)
+	:: deliveries > 0 && alive[1] -> deliveries--; run Delivery(1)
+	:: deliveries > 0 -> deliveries--
+	:: deliveries == 0 -> break
 	od
 }
 
-/* An entry asks what became of the call. */
-active proctype Question() {
-	byte me;
+/* An entry asks for the outcome of the call. */
+active proctype SettleQuery() {
+	byte self;
 	bool ok;
 	issued;
 	do
-	:: questions > 0 ->
-		questions--;
+	:: settleQueries > 0 ->
+		settleQueries--;
 		if
-		:: me = 0
-		:: me = 1
+		:: self = 0
+		:: self = 1
 		fi;
 		atomic {
 			if
-			:: !alive[me] -> skip
-			:: alive[me] && recordOf[me] == DONE -> saidDone = true
-			:: alive[me] && recordOf[me] == BARRED -> saidNotRun = true
-			:: alive[me] && (recordOf[me] == STARTED || recordOf[me] == LOST) -> skip
-			:: alive[me] && recordOf[me] == ABSENT ->
-				mayRun(me, ok);
+			:: !alive[self] -> skip
+			:: alive[self] && callState[self] == DONE -> reportedDone = true
+			:: alive[self] && callState[self] == TOMBSTONED -> reportedNotRun = true
+			:: alive[self] && (callState[self] == STARTED || callState[self] == ANSWER_LOST) -> skip
+			:: alive[self] && callState[self] == ABSENT ->
+				mayRun(self, ok);
 				if
 				:: ok ->
 #ifndef NO_TOMBSTONE
-					recordOf[me] = BARRED;
+					callState[self] = TOMBSTONED;
 #endif
-					saidNotRun = true
+					reportedNotRun = true
 				:: else -> skip
 				fi
 			fi
 		}
-	:: questions == 0 -> break
+	:: settleQueries == 0 -> break
 	od
 }
 
-/* A may die; its lease lapses; B takes over. A that did not die is the frozen
-   or cut off holder. */
-active proctype Succession() {
-	begun;
+/* A may crash; its lease lapses; B takes over. If A did not crash, it is frozen or
+   disconnected from the table. */
+active proctype LeaseTakeover() {
+	started;
 	if
 	:: alive[0] = false
 	:: skip
 	fi;
-#ifndef NO_WAIT
+#ifndef NO_LEASE_WAIT
 	leaseValid[0] = false;
 #endif
 	atomic {
 		alive[1] = true;
 		leaseValid[1] = true;
-		highestFence = 1
+		highestFencingToken = 1
 	}
 }
 
 init {
-	atomic { alive[0] = true; leaseValid[0] = true; begun = true }
+	atomic { alive[0] = true; leaseValid[0] = true; started = true }
 }
 
 ltl atMostOnce { [] (runs <= 1) }
-ltl notRun { [] !(saidNotRun && runs > 0) }
-ltl doneRan { [] (saidDone -> runs >= 1) }
-ltl noLateRun { [] (lateRuns == 0) }
+ltl notRunImpliesNoRun { [] !(reportedNotRun && runs > 0) }
+ltl doneImpliesRun { [] (reportedDone -> runs >= 1) }
+ltl noStaleRun { [] (staleRuns == 0) }
--- a/spec/restored.pml
+++ b/spec/restored.pml
@@ -1,93 +1,101 @@
 /*
- * The staged rollout of configurations while the platform's table is restored
- * from older copies of itself, checked exhaustively by spin.
+ * Model of the staged rollout of configurations while the platform's table is
+ * restored from older backups of itself, checked exhaustively by spin.
  *
- * Two operators, or three with -DTHIRD, submit changes through two processes. The table is copied at any
- * moment and restored from the copy up to twice, in any order with all the rest, so
- * versions are given out again. A third process starts at any moment. Cut links,
- * lost replies and coordinators that die are in rollout.pml.
+ * Two operators, or three with THREE_OPERATORS, submit changes through two
+ * processes. The table is backed up at any moment and restored from the backup
+ * up to twice, in any order with all other steps, so versions are issued again.
+ * A third process starts at any moment. Failed calls, lost replies and
+ * coordinators that crash are covered by rollout.pml.
  *
- * What stands for what:
+ * The parts of the model and the code that they stand for:
  *   Coordinator  rollout.Coordinator.submit: latestHead, stageEverywhere, commit,
  *                confirm
- *   follow       rollout.Coordinator.Refresh
- *   take         rollout.Store.take
+ *   followHead   rollout.Coordinator.Refresh
+ *   activate     rollout.Store.take
  *
- * Safeguards, removed by -DNO_<name>:
- *   AHEAD      a head that is older than what is in force is written again
- *   VALUE      the head is written over the value that was read
- *   CHANGE     an activation tells the change in force, not its version only
+ * Safeguards; -DNO_<name> removes one:
+ *   HEAD_REWRITE  a process writes the head again if the head is older than the
+ *                 configuration that the process runs
+ *   VALUE_CHECK   the head is written only if its change is the one that was read,
+ *                 not only its version
+ *   CHANGE_CHECK  a process confirms an activation by the change that it runs, not
+ *                 only by the version
  */
 
 #define PROCS 3
-#ifdef THIRD
+#ifdef THREE_OPERATORS
 #define COORDINATORS 3
 #else
 #define COORDINATORS 2
 #endif
 
-byte headV = 1, headC = 0;      /* version and change of the head */
-byte copyV = 1, copyC = 0;
-byte inV[PROCS], inC[PROCS];    /* what is in force */
+byte headVersion = 1, headChange = 0; /* version and change of the committed head */
+byte backupVersion = 1, backupChange = 0;
+byte activeVersion[PROCS], activeChange[PROCS]; /* version and change that each process runs */
 bool serving[PROCS];
-byte acceptedV = 0, acceptedC = 0;
-byte over = 0;                  /* coordinators that have ended */
+byte acceptedVersion = 0, acceptedChange = 0;
+byte coordinatorsEnded = 0;
 bool falselyAccepted = false;
-bool overUnread = false;        /* a head was written over one that its writer had not read */
-bool leftBehind = false;        /* a process that follows the head runs less than another one */
+bool blindOverwrite = false; /* a head was overwritten by a writer that had not read it */
+bool diverged = false; /* processes that follow the head run different versions */
 
-inline take(p, v, c) {
+inline activate(p, version, wanted) {
 	if
-	:: v > inV[p] -> inV[p] = v; inC[p] = c
+	:: version > activeVersion[p] -> activeVersion[p] = version; activeChange[p] = wanted
 	:: else -> skip
 	fi
 }
 
-inline writeAgain(p) {
-#ifdef NO_AHEAD
+inline rewriteHead(p) {
+#ifdef NO_HEAD_REWRITE
 	skip
 #else
 	if
-	:: inV[p] > headV -> headV = inV[p]; headC = inC[p]
+	:: activeVersion[p] > headVersion -> headVersion = activeVersion[p]; headChange = activeChange[p]
 	:: else -> skip
 	fi
 #endif
 }
 
-inline follow(p) {
+inline followHead(p) {
 	if
-	:: serving[p] -> writeAgain(p); take(p, headV, headC)
-	:: else -> inV[p] = headV; inC[p] = headC; serving[p] = true
+	:: serving[p] -> rewriteHead(p); activate(p, headVersion, headChange)
+	:: else -> activeVersion[p] = headVersion; activeChange[p] = headChange; serving[p] = true
 	fi
 }
 
-/* A process runs change c of version v, or a later version. */
-#define RUNS(p, v, c) (!serving[p] || inV[p] > v || (inV[p] == v && inC[p] == c))
+/* A serving process runs the wanted change of the version, or a later version. */
+#define RUNS_AT_LEAST(p, version, wanted) (!serving[p] || activeVersion[p] > version || \
+	(activeVersion[p] == version && activeChange[p] == wanted))
 
 proctype Coordinator(byte change, self) {
-	byte baseV, baseC, mine, p;
+	byte baseVersion, baseChange, newVersion, p;
 
-	atomic { writeAgain(self); baseV = headV; baseC = headC; mine = baseV + 1 };
-	/* A process refuses to hold a change that would get a version it has in force. */
+	atomic {
+		rewriteHead(self);
+		baseVersion = headVersion; baseChange = headChange; newVersion = baseVersion + 1
+	};
+	/* A process rejects a change whose new version it already runs. */
 	p = 0;
 	do
 	:: p < PROCS -> atomic {
 		if
-		:: serving[p] && inV[p] >= mine -> goto ended
+		:: serving[p] && activeVersion[p] >= newVersion -> goto ended
 		:: else -> p++
 		fi }
 	:: p == PROCS -> break
 	od;
 	atomic {
 		if
-#ifdef NO_VALUE
-		:: headV == baseV ->
+#ifdef NO_VALUE_CHECK
+		:: headVersion == baseVersion ->
 #else
-		:: headV == baseV && headC == baseC ->
+		:: headVersion == baseVersion && headChange == baseChange ->
 #endif
-			overUnread = overUnread || headC != baseC;
-			headV = mine;
-			headC = change
+			blindOverwrite = blindOverwrite || headChange != baseChange;
+			headVersion = newVersion;
+			headChange = change
 		:: else -> goto ended
 		fi
 	};
@@ -95,72 +103,75 @@
 	do
 	:: p < PROCS -> atomic {
 		if
-		:: serving[p] -> take(p, mine, change)
+		:: serving[p] -> activate(p, newVersion, change)
 		:: else -> skip
 		fi;
 		if
-#ifdef NO_CHANGE
-		:: serving[p] && inV[p] < mine -> goto ended
+#ifdef NO_CHANGE_CHECK
+		:: serving[p] && activeVersion[p] < newVersion -> goto ended
 #else
-		:: !RUNS(p, mine, change) -> goto ended
+		:: !RUNS_AT_LEAST(p, newVersion, change) -> goto ended
 #endif
 		:: else -> p++
 		fi }
 	:: p == PROCS -> break
 	od;
 	atomic {
-		falselyAccepted = falselyAccepted || !(RUNS(0, mine, change) && RUNS(1, mine, change));
+		falselyAccepted = falselyAccepted ||
+			!(RUNS_AT_LEAST(0, newVersion, change) && RUNS_AT_LEAST(1, newVersion, change));
 		if
-		:: mine > acceptedV -> acceptedV = mine; acceptedC = change
+		:: newVersion > acceptedVersion -> acceptedVersion = newVersion; acceptedChange = change
 		:: else -> skip
 		fi
 	}
-ended:	atomic { baseV = 0; baseC = 0; mine = 0; p = 0; over++ }
+ended:	atomic { baseVersion = 0; baseChange = 0; newVersion = 0; p = 0; coordinatorsEnded++ }
 }
 
 active proctype Table() {
-	byte copies = 0, restores = 0;
+	byte backups = 0, restores = 0;
 end:	do
-	:: atomic { copies < 1 -> copies++; copyV = headV; copyC = headC }
-	:: atomic { restores < 2 -> restores++; headV = copyV; headC = copyC }
+	:: atomic { backups < 1 -> backups++; backupVersion = headVersion; backupChange = headChange }
+	:: atomic { restores < 2 -> restores++; headVersion = backupVersion; headChange = backupChange }
 	od
 }
 
 active proctype Follower() {
 end:	do
-	:: atomic { serving[0] -> follow(0) }
-	:: atomic { serving[1] -> follow(1) }
-	:: atomic { true -> follow(2) }
+	:: atomic { serving[0] -> followHead(0) }
+	:: atomic { serving[1] -> followHead(1) }
+	:: atomic { true -> followHead(2) }
 	od
 }
 
-/* All changes are over, and each process has followed the head for a while. */
-active proctype Settled() {
+/* After all changes have ended, each process follows the head twice. */
+active proctype ConvergenceCheck() {
 	atomic {
-		over == COORDINATORS ->
-		follow(0); follow(1); follow(2);
-		follow(0); follow(1); follow(2);
-		leftBehind = !(inV[0] == inV[1] && inV[1] == inV[2])
+		coordinatorsEnded == COORDINATORS ->
+		followHead(0); followHead(1); followHead(2);
+		followHead(0); followHead(1); followHead(2);
+		diverged = !(activeVersion[0] == activeVersion[1] && activeVersion[1] == activeVersion[2])
 	}
 }
 
 init {
 	atomic {
-		inV[0] = 1; inV[1] = 1;
+		activeVersion[0] = 1; activeVersion[1] = 1;
 		serving[0] = true; serving[1] = true;
 		run Coordinator(1, 0);
 		run Coordinator(2, 1)
-#ifdef THIRD
+#ifdef THREE_OPERATORS
 		; run Coordinator(3, 0)
 #endif
 	}
 }
 
-/* What is answered as accepted is in force at each process that ran all the time, */
-ltl noFalseAnswer { [] !falselyAccepted }
-/* and stays so until a later version is. */
-ltl acceptedStays { [] (acceptedV == 0 || (RUNS(0, acceptedV, acceptedC) && RUNS(1, acceptedV, acceptedC))) }
-/* A change replaces the one that it was made from. */
-ltl overWhatWasRead { [] !overUnread }
-/* In the end no process runs an older version than another one. */
-ltl upToDate { [] !leftBehind }
+/* An accepted change is in force at each process that ran all the time, */
+ltl noFalseAcceptance { [] !falselyAccepted }
+/* and stays in force until a later version replaces it. */
+ltl acceptedStaysInForce { []
+	(acceptedVersion == 0 || (RUNS_AT_LEAST(0, acceptedVersion, acceptedChange) &&
+		RUNS_AT_LEAST(1, acceptedVersion, acceptedChange))) }
+/* A change overwrites only the head that it is based on. */
+ltl noBlindOverwrite { [] !blindOverwrite }
+/* In the end all processes run the same version. */
+ltl processesConverge { [] !diverged }
--- a/spec/rollout.pml
+++ b/spec/rollout.pml
@@ -1,51 +1,52 @@
 /*
- * The staged rollout of configurations, checked exhaustively by spin.
+ * Model of the staged rollout of configurations, checked exhaustively by spin.
  *
  * Two operators submit changes through two coordinators. Processes 0 and 1 run
- * from the start, process 2 joins late. Links may be cut at any call, the
- * reply to the commit may be lost, coordinators may die between any two steps,
- * process 1 may restart, and an activation may arrive late or twice.
+ * from the start, process 2 joins later. Any call may fail, the reply to the
+ * commit may be lost, coordinators may crash between any two steps, process 1
+ * may restart, and an activation may arrive late or twice.
  *
- * What stands for what:
- *   Coordinator  rollout.Coordinator.Submit: base check, stageEverywhere,
- *                commit, settleCommit, confirm
- *   activate     rollout.Store.take
- *   Follower     rollout.Coordinator.Follow: a process reads the head
- *   Joiner       a fresh process: listed on the VM list, then Refresh, then
- *                ready
- *   Restart      the same for a process that ran before; with the table out it
- *                asks a peer (rollout.Store.CatchUp)
- *   Late         a late or repeated config.activate
+ * The parts of the model and the code that they stand for:
+ *   Coordinator        rollout.Coordinator.Submit: base check, stageEverywhere,
+ *                      commit, settleCommit, confirm
+ *   activate           rollout.Store.take
+ *   Follower           rollout.Coordinator.Follow: a process reads the head
+ *   Joiner             a new process: added to the VM list, then Refresh, then
+ *                      ready
+ *   Restart            the same for a process that restarts; while the table is
+ *                      unavailable it asks a peer (rollout.Store.CatchUp)
+ *   DelayedActivation  a delayed or repeated config.activate
  *
- * Safeguards, removed by -DNO_<name>:
- *   CONDITION  the head is written only if it is as read
- *   SETTLE     a commit without a reply is looked up before anything is said
- *   CONFIRM    accepted is said only when all listed processes confirmed
- *   MONOTONE   a process takes only a higher version
- *   RELIST     the VM list is read again before confirming
- *   JOIN       a fresh process reads the head only after it is listed
- *   SERVE      a fresh process serves nothing before it has a configuration
+ * Safeguards; -DNO_<name> removes one:
+ *   CONDITIONAL_WRITE  the head is written only if it is unchanged since it was read
+ *   COMMIT_LOOKUP      after a lost reply the coordinator reads whether the commit
+ *                      took effect before it reports an outcome
+ *   CONFIRM            a change is accepted only after all listed processes confirmed it
+ *   MONOTONE           a process takes only a higher version
+ *   RELIST             the VM list is read again before the confirmations
+ *   LIST_FIRST         a new process reads the head only after it is listed
+ *   READINESS          a new process serves nothing before it has a configuration
  */
 
 #define PROCS 3
 
 byte head = 0;          /* committed version */
-byte headChange = 0;    /* change that made it; 0 is the first configuration */
-byte committedAs[3];    /* version a change was committed as, 0 if never */
+byte headChange = 0;    /* change that wrote it; 0 is the first configuration */
+byte committedAs[3];    /* version that each change was committed as, or 0 */
 
 byte inForce[PROCS];
 bool listed[PROCS];
 bool serving[PROCS];
 
-bool saidAccepted[3], saidRefused[3];
+bool reportedAccepted[3], reportedRefused[3];
 byte acceptedVersion = 0;
-bool wentLower = false;
-bool tableOut = false;
+bool versionDecreased = false;
+bool tableUnavailable = false;
 
 inline activate(p, v) {
 #ifdef NO_MONOTONE
 	if
-	:: v < inForce[p] && serving[p] -> wentLower = true
+	:: v < inForce[p] && serving[p] -> versionDecreased = true
 	:: else -> skip
 	fi;
 	inForce[p] = v
@@ -58,141 +59,145 @@
 }
 
 /* All serving processes have at least version v. */
-#define EVERYWHERE(v) ((!serving[0] || inForce[0] >= v) && \
+#define IN_FORCE_EVERYWHERE(v) ((!serving[0] || inForce[0] >= v) && \
 	(!serving[1] || inForce[1] >= v) && (!serving[2] || inForce[2] >= v))
 
 proctype Coordinator(byte change) {
-	byte base, mine, p;
-	bool lost, must[PROCS];
+	byte baseVersion, newVersion, p;
+	bool replyLost, required[PROCS];
 
-	/* Read the head: the operator started from it. Staging has no effect here
-	   but that a cut link or a no refuses the change. */
+	/* Read the head, on which the change is based. Staging is modelled only by its
+	   failure: a failed call or a rejection refuses the change. */
 	atomic {
-		base = head;
+		baseVersion = head;
 		if
-		:: saidRefused[change] = true; goto over
+		:: reportedRefused[change] = true; goto finished
 		:: skip
 		fi;
-		must[0] = listed[0]; must[1] = listed[1]; must[2] = listed[2]
+		required[0] = listed[0]; required[1] = listed[1]; required[2] = listed[2]
 	}
 	if
-	:: goto over /* dies before the commit: nothing was said */
+	:: goto finished /* crashes before the commit: no outcome is reported */
 	:: skip
 	fi;
 	/* Commit. */
 	atomic {
-		lost = false;
+		replyLost = false;
 		if
-#ifdef NO_CONDITION
+#ifdef NO_CONDITIONAL_WRITE
 		:: true ->
 #else
-		:: head == base ->
+		:: head == baseVersion ->
 #endif
-			mine = base + 1;
-			head = mine;
+			newVersion = baseVersion + 1;
+			head = newVersion;
 			headChange = change;
-			committedAs[change] = mine;
+			committedAs[change] = newVersion;
 			if
-			:: lost = true
+			:: replyLost = true
 			:: skip
 			fi
-#ifndef NO_CONDITION
-		:: head != base -> saidRefused[change] = true; goto over
+#ifndef NO_CONDITIONAL_WRITE
+		:: head != baseVersion -> reportedRefused[change] = true; goto finished
 #endif
-		/* The write never arrived, and no reply came. */
-		:: mine = base + 1; lost = true
+		/* The write never arrived, so there was no reply. */
+		:: newVersion = baseVersion + 1; replyLost = true
 		fi
 	}
 	if
-	:: lost ->
-#ifdef NO_SETTLE
-		saidRefused[change] = true; goto over
+	:: replyLost ->
+#ifdef NO_COMMIT_LOOKUP
+		reportedRefused[change] = true; goto finished
 #else
-		/* settleCommit: the change's own row, or a head that moved on. */
+		/* settleCommit reads the row of the change, or finds a head beyond its base. */
 		atomic {
 			if
 			:: committedAs[change] > 0 -> skip
-			:: committedAs[change] == 0 && head > base -> saidRefused[change] = true; goto over
-			:: committedAs[change] == 0 && head == base -> goto over /* in doubt: nothing is said */
+			:: committedAs[change] == 0 && head > baseVersion -> reportedRefused[change] = true; goto finished
+			:: committedAs[change] == 0 && head == baseVersion -> goto finished /* unknown: no outcome is reported */
 			fi
 		}
 #endif
 	:: else -> skip
 	fi;
 	if
-	:: goto over /* dies after the commit */
+	:: goto finished /* crashes after the commit */
 	:: skip
 	fi;
 #ifndef NO_RELIST
-	atomic { must[0] = listed[0]; must[1] = listed[1]; must[2] = listed[2] };
+	atomic { required[0] = listed[0]; required[1] = listed[1]; required[2] = listed[2] };
 #endif
 #ifndef NO_CONFIRM
-	/* Activate everywhere; a cut link leaves the change committed. */
+	/* Activate at every required process; a failed call leaves the change committed. */
 	p = 0;
 	do
 	:: p < PROCS -> atomic {
 		if
-		:: must[p] -> activate(p, mine)
-		:: must[p] -> goto over
-		:: !must[p] -> skip
+		:: required[p] -> activate(p, newVersion)
+		:: required[p] -> goto finished
+		:: !required[p] -> skip
 		fi;
 		p++ }
 	:: p == PROCS -> break
 	od;
 #endif
 	atomic {
-		saidAccepted[change] = true;
+		reportedAccepted[change] = true;
 		if
-		:: mine > acceptedVersion -> acceptedVersion = mine
+		:: newVersion > acceptedVersion -> acceptedVersion = newVersion
 		:: else -> skip
 		fi
 	}
-over:	atomic { base = 0; mine = 0; p = 0; lost = false; must[0] = false; must[1] = false; must[2] = false }
+finished:
+	atomic {
+		baseVersion = 0; newVersion = 0; p = 0; replyLost = false;
+		required[0] = false; required[1] = false; required[2] = false
+	}
 }
 
-/* Entries read the head now and then. */
+/* Entries read the head periodically. */
 active proctype Follower() {
-	byte n = 0;
+	byte reads = 0;
 	do
-	:: n < 2 && !tableOut -> atomic { activate(0, head); n++ }
-	:: n < 2 && !tableOut && serving[1] -> atomic { activate(1, head); n++ }
+	:: reads < 2 && !tableUnavailable -> atomic { activate(0, head); reads++ }
+	:: reads < 2 && !tableUnavailable && serving[1] -> atomic { activate(1, head); reads++ }
 	:: break
 	od
 }
 
 active proctype Joiner() {
-	byte seen;
-#ifdef NO_JOIN
-	seen = head;
+	byte headRead;
+#ifdef NO_LIST_FIRST
+	headRead = head;
 	listed[2] = true;
 #else
 	listed[2] = true;
-	seen = head;
+	headRead = head;
 #endif
 	atomic {
-		activate(2, seen);
+		activate(2, headRead);
 		serving[2] = true
 	}
 }
 
-/* Process 1 restarts as a fresh incarnation; the table may be out. */
+/* Process 1 restarts as a new incarnation; the table may be unavailable. */
 active proctype Restart() {
 	if
 	:: atomic { serving[1] = false; inForce[1] = 0 };
-#ifdef NO_SERVE
+#ifdef NO_READINESS
 		serving[1] = true;
 #endif
 		if
 		:: atomic { activate(1, head); serving[1] = true }
-		/* The table is out: a peer shows what it has in force. */
+		/* The table is unavailable: a peer returns its active configuration. */
 		:: atomic { serving[0]; activate(1, inForce[0]); serving[1] = true }
 		fi
 	:: skip
 	fi
 }
 
-/* A late or repeated activation of the first change. */
-active proctype Late() {
+/* A delayed or repeated activation of the first change. */
+active proctype DelayedActivation() {
 	if
 	:: atomic { committedAs[1] > 0 -> activate(0, committedAs[1]) }
 	:: skip
@@ -208,13 +213,15 @@
 	}
 }
 
-/* At most one change is committed as any version. */
-ltl oneWinner { [] !(committedAs[1] > 0 && committedAs[1] == committedAs[2]) }
-/* Accepted implies in force at every process that serves, from then on. */
-ltl acceptedHolds { [] EVERYWHERE(acceptedVersion) }
-/* A process never goes to a lower version while it serves. */
-ltl neverLower { [] !wentLower }
-/* Refused is in force nowhere: it was never committed. */
-ltl refusedNowhere { [] !((saidRefused[1] && committedAs[1] > 0) || (saidRefused[2] && committedAs[2] > 0)) }
-/* Nothing is both accepted and refused. */
-ltl oneAnswer { [] !((saidAccepted[1] && saidRefused[1]) || (saidAccepted[2] && saidRefused[2])) }
+/* At most one change is committed as a given version. */
+ltl oneChangePerVersion { [] !(committedAs[1] > 0 && committedAs[1] == committedAs[2]) }
+/* Once accepted, a change or a later one is in force at every serving process. */
+ltl acceptedInForce { [] IN_FORCE_EVERYWHERE(acceptedVersion) }
+/* The version of a process never decreases while the process serves. */
+ltl versionsNeverDecrease { [] !versionDecreased }
+/* A refused change was never committed, so it is in force nowhere. */
+ltl refusedNeverCommitted { []
+	!((reportedRefused[1] && committedAs[1] > 0) || (reportedRefused[2] && committedAs[2] > 0)) }
+/* No change is reported both accepted and refused. */
+ltl oneOutcome { []
+	!((reportedAccepted[1] && reportedRefused[1]) || (reportedAccepted[2] && reportedRefused[2])) }
