--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Switches off one mechanism of the gateway at a time, in a scratch copy of the
-# sources, plays the same days with the same seeds, and prints what each is worth: the
-# mean worth of each day with everything, and how much less it is without.
+# Disables one mechanism of the gateway at a time in a scratch copy of the sources and runs
+# the same benchmark days with the same seeds. Prints the mean worth (the score of the bench)
+# of each day with all mechanisms, and the difference without each of them.
 #
 #   BENCH=path/to/bench scripts/ablation.sh 'SEED ...' 'DAY ...' SITE... [-- NAME...]
 #
-# Days are names of the site's own days, or one of load2, roll, lossy, grey, silent,
-# which are made here. With names only those mechanisms are switched off. JOBS days are
-# played at once; processor time is not counted. JOURNAL names a folder that gets the
-# entries of the plays.
+# DAY is the name of a day of the site, or one of load2, roll, lossy, grey and silent, which
+# this script generates. NAME limits the ablation to the named mechanisms. JOBS days run in
+# parallel; processor time does not count. JOURNAL names a folder that receives the journal
+# entries of the runs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seeds=$1 days=$2
@@ -21,8 +21,8 @@
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 
-# own DAY SITE prints the file of a day: one made here for its name, or the name itself.
-own() {
+# day_file DAY SITE prints the path of a generated day, or the name of a day of the site.
+day_file() {
   local file=$scratch/$1-$(basename "$2" .toml).toml head="name = \"$1\"\nslot = \"trouble\"\nseed = 7"
   case $1 in
     load2) awk -v x=2 -v extra= -f scripts/loadday.awk "$2" >"$file" ;;
@@ -35,24 +35,24 @@
   echo "$file"
 }
 
-# copy makes the scratch tree anew.
-copy() {
+# reset_tree replaces the scratch tree by a fresh copy of the sources.
+reset_tree() {
   rm -rf "$scratch/tree"
   mkdir "$scratch/tree"
   cp -r go.mod go.sum internal platform cmd deploy "$scratch/tree/"
 }
 
-# play NAME plays all days of all sites in the scratch tree into $scratch/NAME.
-play() {
+# run_days NAME runs all days of all sites in the scratch tree; results go to $scratch/NAME.
+run_days() {
   local name=$1 site day seed
   (cd "$scratch/tree" && git init -q . && mkdir -p journal && "$bench" build >/dev/null)
   for site in "${sites[@]}"; do
     for day in $days; do
-      for seed in $seeds; do printf '%s %s %s %s\n' "$site" "$(own "$day" "$site")" "$day" "$seed"; done
+      for seed in $seeds; do printf '%s %s %s %s\n' "$site" "$(day_file "$day" "$site")" "$day" "$seed"; done
     done
-  done >"$scratch/plays"
+  done >"$scratch/runs"
   mkdir -p "$scratch/$name"
-  (cd "$scratch/tree" && xargs -P "${JOBS:-4}" -L 1 bash -c '"$0" run "$3" "$4" --seed "$6" --no-cpu --why "$2" >"$1/$(basename "$3" .toml)+$5+$6.txt" 2>&1 || true' "$bench" "$scratch/$name" "ablation-$name" <"$scratch/plays")
+  (cd "$scratch/tree" && xargs -P "${JOBS:-4}" -L 1 bash -c '"$0" run "$3" "$4" --seed "$6" --no-cpu --why "$2" >"$1/$(basename "$3" .toml)+$5+$6.txt" 2>&1 || true' "$bench" "$scratch/$name" "ablation-$name" <"$scratch/runs")
   [ -z "${JOURNAL:-}" ] || cp -rn "$scratch/tree/journal/." "$JOURNAL/" || true
   for f in "$scratch/$name"/*.txt; do
     printf '%s ' "$(basename "$f" .txt)"
@@ -61,33 +61,33 @@
   done >"$scratch/$name.rows"
 }
 
-# report NAME compares with everything on: one line a site.
+# report NAME prints one line per site: the difference to the run with all mechanisms.
 report() {
   awk -v name="$1" '
     FNR == NR { base[$1] = $2; next }
-    $2 ~ /^[0-9.-]+$/ { split($1, k, "+"); s = k[1]; d = $2 - base[$1]; n[s]++; sum[s] += d; dn[s, k[2]]++; ds[s, k[2]] += d; if (!((s, k[2]) in seen)) { seen[s, k[2]] = 1; order[s] = order[s] " " k[2] } }
+    $2 ~ /^[0-9.-]+$/ { split($1, k, "+"); site = k[1]; day = k[2]; delta = $2 - base[$1]; runs[site]++; sum[site] += delta; day_runs[site, day]++; day_sum[site, day] += delta; if (!((site, day) in seen)) { seen[site, day] = 1; days[site] = days[site] " " day } }
     / rules broken/ { broken[$1] = $0 }
     END {
-      for (s in n) {
-        printf "%-18s %-22s %+.3f  ", name, s, sum[s] / n[s]
-        m = split(order[s], list, " ")
-        for (i = 1; i <= m; i++) printf " %s %+.3f", list[i], ds[s, list[i]] / dn[s, list[i]]
+      for (site in runs) {
+        printf "%-18s %-22s %+.3f  ", name, site, sum[site] / runs[site]
+        m = split(days[site], list, " ")
+        for (i = 1; i <= m; i++) printf " %s %+.3f", list[i], day_sum[site, list[i]] / day_runs[site, list[i]]
         print ""
       }
-      for (b in broken) print name ": " broken[b]
+      for (run in broken) print name ": " broken[run]
     }' "$scratch/all.rows" "$scratch/$1.rows"
 }
 
-copy
-play all
-awk '$2 ~ /^[0-9.-]+$/ { split($1, k, "+"); n[k[1] " " k[2]]++; w[k[1] " " k[2]] += $2 } END { for (d in n) printf "with everything    %-32s %.3f\n", d, w[d] / n[d] }' "$scratch/all.rows" | sort
+reset_tree
+run_days all
+awk '$2 ~ /^[0-9.-]+$/ { split($1, k, "+"); runs[k[1] " " k[2]]++; worth[k[1] " " k[2]] += $2 } END { for (d in runs) printf "all mechanisms     %-32s %.3f\n", d, worth[d] / runs[d] }' "$scratch/all.rows" | sort
 
-# off NAME FILE PERL-SUBSTITUTION [FILE PERL-SUBSTITUTION...] switches a mechanism off.
+# off NAME FILE PERL-SUBSTITUTION [FILE PERL-SUBSTITUTION...] measures without a mechanism.
 off() {
   local name=$1
   shift
   [ ${#only[@]} -eq 0 ] || [[ " ${only[*]} " == *" $name "* ]] || return 0
-  copy
+  reset_tree
   while [ $# -gt 0 ]; do
     perl -0pi -e "$2" "$scratch/tree/$1"
     if cmp -s "$1" "$scratch/tree/$1"; then
@@ -96,7 +96,7 @@
     fi
     shift 2
   done
-  play "$name"
+  run_days "$name"
   report "$name"
 }
 
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Plays the same days of an installation with the same seeds again and again, so
-# that two versions of the product can be compared.
+# Runs the same benchmark days of a site with the same seeds each time, so that two
+# versions of the gateway can be compared.
 #
 #   BENCH=path/to/bench scripts/days.sh SITE 'DAY ...' 'SEED ...' [WHY]
 #
-# prints a line for each day and seed, with what it lost by, then the mean worth of each
-# day and of all. Broken rules are printed with the lines that tell of them. JOBS days are
-# played at once; OPTIONS are passed on to the bench, as --small.
+# Prints a line for each day and seed with the causes of its lost worth (the score of the
+# bench), then the mean worth of each day and of all days. Broken rules are printed with their
+# details. JOBS days run in parallel; OPTIONS are passed to the bench, for example --small.
 set -euo pipefail
 site=$1 days=$2 seeds=$3 why=${4:-compare versions}
 bench=${BENCH:?set BENCH to the bench program}
@@ -21,13 +21,13 @@
   grep -A1 '^day ' "$f" | tail -1 | sed "s/^[^ ]*/$name/"
   grep -A6 -h '^rules broken' "$f" || true
   awk -v name="$name" '
-    /requests preempted/ { match($0, /[0-9]+ requests preempted/); p = substr($0, RSTART) + 0 }
-    /prefilled for nothing/ { v = $2 }
-    /worth refused again/ { r = $1 }
-    / worst windows/ && /^worth/ { match($0, /worst windows [0-9.]+/); w = substr($0, RSTART + 14, RLENGTH - 14) }
-    END { print "causes " name ": preempted " p + 0 ", 1,000 tokens in vain " v + 0 ", refused again " r + 0 ", windows " w + 0 }' "$f"
+    /requests preempted/ { match($0, /[0-9]+ requests preempted/); preempted = substr($0, RSTART) + 0 }
+    /prefilled for nothing/ { wasted = $2 }
+    /worth refused again/ { refused_again = $1 }
+    / worst windows/ && /^worth/ { match($0, /worst windows [0-9.]+/); windows = substr($0, RSTART + 14, RLENGTH - 14) }
+    END { print "causes " name ": preempted " preempted + 0 ", 1,000 tokens prefilled unused " wasted + 0 ", refused again " refused_again + 0 ", windows " windows + 0 }' "$f"
 done | tee "$out/all"
-awk '$2 ~ /^[0-9]+\/[0-9]+$/ {d=$1; sub(/-[0-9]+$/, "", d); n[d]++; w[d]+=$4; N++; W+=$4; S+=$5}
-  /BROKEN/ {b++}
-  $1 == "causes" {P += $4; V += $9; R += $12; X += $14}
-  END {printf "causes per day   preempted %.1f, 1,000 tokens in vain %.1f, refused again %.4f, windows %.3f\n", P/N, V/N, R/N, X/N; for (d in n) printf "mean %-12s %.3f\n", d, w[d]/n[d]; printf "mean of all   %.3f  served %.3f  days %d  broken %d\n", W/N, S/N, N, b}' "$out/all" | sort
+awk '$2 ~ /^[0-9]+\/[0-9]+$/ {day=$1; sub(/-[0-9]+$/, "", day); runs[day]++; worth[day]+=$4; all_runs++; all_worth+=$4; served+=$5}
+  /BROKEN/ {broken++}
+  $1 == "causes" {preempted += $4; wasted += $9; refused_again += $12; windows += $14}
+  END {printf "causes per day   preempted %.1f, 1,000 tokens prefilled unused %.1f, refused again %.4f, windows %.3f\n", preempted/all_runs, wasted/all_runs, refused_again/all_runs, windows/all_runs; for (day in runs) printf "mean %-12s %.3f\n", day, worth[day]/runs[day]; printf "mean of all   %.3f  served %.3f  days %d  broken %d\n", all_worth/all_runs, served/all_runs, all_runs, broken}' "$out/all" | sort
--- a/scripts/losses.awk
+++ b/scripts/losses.awk
@@ -1,8 +1,8 @@
-# Counts the generations of a played day by what became of them, from the logs of all
-# entries. pause is the longest pause between events, in ms, that callers take as in time.
+# Counts the generations of a benchmark day by outcome, from the logs of all entries.
+# max_gap is the longest pause between two events, in ms, that still counts as in time.
 
-# text returns the value of a field of a log line, without quotes; "" if it is absent.
-function text(name,    rest, at) {
+# field returns the value of a field of a log line without quotes, or "" if it is absent.
+function field(name,    rest, at) {
   at = index($0, "\"" name "\":")
   if (!at) return ""
   rest = substr($0, at + length(name) + 3)
@@ -14,7 +14,7 @@
   return substr(rest, 1, RLENGTH)
 }
 
-# ms returns a duration as it is logged ("1.2s", "30.9ms", "2m3s") in milliseconds.
+# ms converts a logged duration ("1.2s", "30.9ms", "2m3s") to milliseconds.
 function ms(s,    sum, unit, n) {
   sum = 0
   while (match(s, /^[0-9.]+(ms|µs|ns|h|m|s)/)) {
@@ -28,39 +28,39 @@
 }
 
 /"msg":"request-routed"/ && /"most-output"/ {
-  id = text("request")
+  id = field("request")
   if (!(id in kind)) {
-    kind[id] = text("most-output") + 0 > 64 ? "long" : "brief"
-    asked[kind[id]]++
+    kind[id] = field("most-output") + 0 > 64 ? "long" : "brief"
+    sent[kind[id]]++
   }
 }
 /"msg":"stream-starts-late"/ {
-  id = text("request")
-  late[id] = text("crowded") != "true" ? "not explained" : text("reading") != "" && ms(text("reading")) > ms(text("after")) / 2 ? "behind prompts" : "behind memory"
+  id = field("request")
+  late[id] = field("crowded") != "true" ? "unexplained" : field("reading") != "" && ms(field("reading")) > ms(field("after")) / 2 ? "waiting for prompts" : "waiting for memory"
 }
 /"msg":"stream-moved"/ {
-  id = text("request"); moved[id]++
-  if (ms(text("gap")) > pause) slow[id] = 1
+  id = field("request"); moved[id]++
+  if (ms(field("gap")) > max_gap) slow_move[id] = 1
 }
-/"msg":"upstream-suspected"/ { suspected[text("upstream")] = 1 }
-/"msg":"request-refused"/ { id = text("request"); refused[text("reason")]++; over[id] = 1 }
-/"msg":"stream-cut"/ { id = text("request"); if (id in kind) { n[kind[id] ", cut: " text("why")]++; over[id] = 1 } }
-/"msg":"caller-gone"/ { id = text("request"); if (id in kind) { n[kind[id] ", caller left while " text("while")]++; over[id] = 1 } }
+/"msg":"upstream-suspected"/ { suspected[field("upstream")] = 1 }
+/"msg":"request-refused"/ { id = field("request"); refused[field("reason")]++; finished[id] = 1 }
+/"msg":"stream-cut"/ { id = field("request"); if (id in kind) { count[kind[id] ", cut: " field("why")]++; finished[id] = 1 } }
+/"msg":"caller-gone"/ { id = field("request"); if (id in kind) { count[kind[id] ", caller left while " field("while")]++; finished[id] = 1 } }
 /"msg":"request-ended"/ && /"first-in"/ {
-  id = text("request")
+  id = field("request")
   if (!(id in kind)) next
-  over[id] = 1
-  if (id in late) { n[kind[id] ", late start " late[id]]++; next }
-  if (ms(text("longest-pause")) > pause) {
-    n[kind[id] ", paused " (id in slow ? "at a move" : id in moved ? "after a move" : text("pause-at") + 0 <= 2 ? "after the first event" : "later")]++
+  finished[id] = 1
+  if (id in late) { count[kind[id] ", late start " late[id]]++; next }
+  if (ms(field("longest-pause")) > max_gap) {
+    count[kind[id] ", paused " (id in slow_move ? "during a move" : id in moved ? "after a move" : field("pause-at") + 0 <= 2 ? "after the first event" : "later")]++
     next
   }
-  n[kind[id] ", in time"]++
+  count[kind[id] ", in time"]++
 }
 END {
-  for (id in kind) if (!(id in over)) n[kind[id] ", ended with its entry"]++
-  for (why in refused) n["refused: " why] = refused[why]
-  for (u in suspected) suspects++
-  printf "%6d generations sent, long\n%6d generations sent, brief\n%6d upstreams suspected\n", asked["long"], asked["brief"], suspects
-  for (what in n) printf "%6d %s\n", n[what], what | "sort -k2"
+  for (id in kind) if (!(id in finished)) count[kind[id] ", no end logged by its entry"]++
+  for (reason in refused) count["refused: " reason] = refused[reason]
+  for (upstream in suspected) suspects++
+  printf "%6d generations sent, long\n%6d generations sent, brief\n%6d upstreams suspected\n", sent["long"], sent["brief"], suspects
+  for (outcome in count) printf "%6d %s\n", count[outcome], outcome | "sort -k2"
 }
--- a/scripts/mutant.sh
+++ b/scripts/mutant.sh
@@ -1,11 +1,11 @@
-# Removes a safeguard in a scratch copy and expects a test to fail. To be sourced
-# from the root of the repository.
+# Functions for mutation tests: they remove a safeguard in a scratch copy of the sources and
+# expect a test to fail. Source this file from the root of the repository.
 
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 survivors=0
-# limit ends a test that waits for ever on a defect; the tests take seconds.
-limit=120s
+# The tests take seconds; the timeout ends a test that a mutant makes hang.
+test_timeout=120s
 
 mutant() { # mutant NAME FILE PERL-SUBSTITUTION PACKAGE TEST [ARGUMENT OF THE TEST...]
   local name=$1 file=$2 change=$3 package=$4 test=$5 arguments=()
@@ -24,7 +24,7 @@
     cat "$scratch/out" >&2
     exit 1
   fi
-  if (cd "$scratch/tree" && go test -count=1 -timeout "$limit" -run "$test" "./$package" "${arguments[@]}" >"$scratch/out" 2>&1); then
+  if (cd "$scratch/tree" && go test -count=1 -timeout "$test_timeout" -run "$test" "./$package" "${arguments[@]}" >"$scratch/out" 2>&1); then
     printf '%-28s SURVIVED %s\n' "$name" "$test"
     survivors=$((survivors + 1))
   else
@@ -32,7 +32,7 @@
   fi
 }
 
-finish() { # finish reports survivors as a failure.
+finish() { # finish prints the number of survivors and fails if there are any.
   echo "survivors: $survivors"
   [ "$survivors" -eq 0 ]
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Removes one safeguard at a time in a scratch copy and expects the named tests
-# to fail: a safeguard whose absence no test notices is not proved.
+# to fail. A safeguard that can be removed without a failing test is not covered.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -159,7 +159,7 @@
 mutant start-row platform/upstreams.go 's/Born: f\.born\(\), //' platform TestBirthInARow
 mutant start-reported platform/engine.go 's/\t\tBorn:    r\.Born,\n//' platform TestBirthInAReport
 
-# Requests that end upstreams.
+# Quarantine of poison requests.
 held=internal/quarantine
 mutant held-refused $held/set.go 's/if !u\.held\.IsZero\(\) && s\.now\(\)\.Before\(u\.heldUntil\(\)\) \{/if false {/' $held TestHeldAfterThreeEnds
 mutant held-turns $held/set.go 's/s\.running\[r\.Fingerprint\] > 0 \|\| //' $held TestSuspectWaitsForItsTurn
@@ -226,7 +226,7 @@
 mutant stop-waits-gateway internal/daemon/gatewayhttp.go 's/if err := b\.callers\.connections\.Drain\(served\); err != nil \{/if err := served.Err(); err != nil {/' internal/daemon TestStopAnswersWhatWasRead
 mutant stop-stall-looked internal/daemon/runwatch.go 's/w\.stalledFrom, w\.stalledTo = w\.ranAt, now/w.stalledFrom = w.ranAt/' internal/daemon TestRunWatch
 
-# Faults of this program over what was read.
+# Panics of this program while it handles its input.
 mutant fault-table internal/belief/routes.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t\ttable, err = r\.decode\(rec\.Value\)\n\t\treturn err\n\t\}\)\n\treturn table, err/return r.decode(rec.Value)/; s/.*internal\/guard"\n//' internal/belief TestTableThatEndsNoReader
 mutant fault-message internal/peer/conn.go 's/err = guard\.Do\(func\(\) \(err error\) \{\n\t*result, err = h\(ctx, c, params\)\n\t*return err\n\t*\}\)/result, err = h(ctx, c, params)/' internal/peer TestMessageThatEndsNoReader
 mutant fault-gossip internal/gossip/exchange.go 's/if err := guard\.Do\(func\(\) error \{ return n\.read\(b, addr\) \}\); err/if err := n.read(b, addr); err/; s/.*internal\/guard"\n//' internal/gossip TestMessageThatEndsNoReader
@@ -236,7 +236,7 @@
 mutant first-reads internal/directory/directory.go 's/firstMost  = 2 \* time\.Second/firstMost  = time.Hour/; s/firstLeast = 100 \* time\.Millisecond/firstLeast = time.Hour/' internal/directory TestFirstReadsThatFail
 mutant first-row internal/directory/begin.go 's/\t\t\td\.again\(ctx, d\.renew\)\n\t\t\td\.again\(ctx, d\.read\)\n//' internal/directory TestFirstReadsThatFail
 
-# What limited upstreams take.
+# Rate limits of upstreams.
 limits=internal/limits
 mutant limits-part $limits/grant.go 's/if 2\*heard > s\.listed \{/if true {/' $limits TestBothSidesOfACut
 mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestGrantingBegins
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Removes one safeguard at a time in a scratch copy and expects the soak to notice
+# Removes one safeguard at a time in a scratch copy and expects the soak test to fail
 # within a few seeds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -16,16 +16,16 @@
 soak last-event $gateway/stream.go 's/\ts\.lastEvent = id\n//'
 soak instance platform/caller.go 's/\th\.Set\(headerInstance, a\.Upstream\)\n//'
 soak second-signal internal/kernel/kernel.go 's/\twaitForEnd\(ctx, sigs\)\n/\twaitForEnd(ctx, sigs)\n\tsignal.Stop(sigs)\n/'
-# A timer beside the connection that ends it, whatever was read meanwhile.
+# A separate timer closes the connection even if a request was read in the meantime.
 soak late-close internal/connlimit/connlimit.go 's/\tcase http\.StateActive:\n/\tcase http.StateActive:\n\t\tif t, ok := late.LoadAndDelete(c); ok {\n\t\t\tt.(*time.Timer).Stop()\n\t\t}\n/; s/\t\tc\.enter\(idle\)\n/\t\tc.enter(idle)\n\t\tif d := l.limits().Idle; d > 0 {\n\t\t\tlate.Store(c, time.AfterFunc(d, func() { _ = c.Close() }))\n\t\t}\n/; s/\ntype Limiter struct/\nvar late sync.Map\n\ntype Limiter struct/'
-# All that is believed of an upstream goes by its name alone, or only a start with a
-# later birth counts.
+# The state of an upstream is kept by its name alone, or only a start with a later
+# start time counts as a new incarnation.
 soak start internal/fleet/starts.go 's/\tcase born != 0:\n/\tcase born != 0 \&\& false:\n/'
 soak clock-back internal/fleet/starts.go 's/return r\.Version < than\.Version/return r.Born < than.Born/'
-# An upstream whose row cannot be used goes on getting work.
+# An upstream with an unreadable row still receives requests.
 soak spoilt-row internal/fleet/unreadable.go 's/return !m\.unreadable && /return /'
 
-# What an upstream says of itself in answers is not heeded.
+# The notices of an upstream in its answers (leaving, backoff) are ignored.
 soak answer-leaving internal/gateway/notice.go 's/if n\.Leaving && g\.fleet\.AnsweredLeaving\(from\.ID\)/if false \&\& g.fleet.AnsweredLeaving(from.ID)/'
 soak answer-rest internal/gateway/notice.go 's/if !n\.BackOffUntil\.IsZero\(\)/if false/'
 
--- a/scripts/troubles.sh
+++ b/scripts/troubles.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# Plays a day for each kind of trouble, alone (early, twice, and just before the
-# final fault) or in pairs, and prints a table of worth and broken rules.
+# Runs a benchmark day for each kind of fault or planned event, alone (early, twice, and just
+# before the final fault) or in pairs, and prints a table of worth and broken rules.
 #
 #   BENCH=path/to/bench scripts/troubles.sh SITE [alone|pairs] [SEED]
 #
-# JOBS days are played at once; KINDS, if set, are the names of the kinds to play, out of
-# the list below. Days that broke a rule or had a process end by
-# itself are listed again at the end; their files are kept in the folder named.
+# JOBS days run in parallel. KINDS, if set, selects kinds by name from the list below. Days
+# that broke a rule, or in which a process ended by itself, are listed again at the end,
+# with the folder that keeps their files.
 set -euo pipefail
 site=$1 mode=${2:-alone} seed=${3:-1}
 bench=${BENCH:?set BENCH to the bench program}
 out=$(mktemp -d)
 
-# name|plan or faults|fields of the entry without its time
+# Each line is name|plan or faults|fields of the entry, without its time.
 kinds='burst|faults|kind = "burst", x = 2.0, for_s = 4.0
 shift|faults|kind = "shift", share = 0.5, for_s = 6.0
 hotkey|faults|kind = "hot_key", share = 0.4, for_s = 6.0
@@ -87,8 +87,8 @@
 zoneloss|faults|kind = "zone_loss"
 zonecut|faults|kind = "zone_cut", for_s = 6.0'
 
-# day NAME CLOSING ENTRY... writes a day; an entry is "section|fields, at = ...".
-day() {
+# write_day NAME CLOSING ENTRY... writes a day; an entry is "section|at = ..., fields".
+write_day() {
   local name=$1 closing=$2 section entry
   shift 2
   {
@@ -107,22 +107,22 @@
 while IFS='|' read -r name section fields; do
   [[ -z "${KINDS:-}" || " $KINDS " == *" $name "* ]] || continue
   if [ "$mode" = alone ]; then
-    day "$name-early" "" "$section|at = 1.0, $fields"
-    day "$name-twice" "" "$section|at = 8.0, $fields" "$section|at = 20.0, $fields"
-    day "$name-final" kill_all "$section|at = 30.0, $fields"
+    write_day "$name-early" "" "$section|at = 1.0, $fields"
+    write_day "$name-twice" "" "$section|at = 8.0, $fields" "$section|at = 20.0, $fields"
+    write_day "$name-final" kill_all "$section|at = 30.0, $fields"
     continue
   fi
-  # Two partners for each kind, chosen by the seed.
+  # The seed selects two other kinds to pair with each kind.
   for k in 1 2; do
-    IFS='|' read -r other osection ofields < <(awk -v s="$seed$name$k" 'BEGIN {for (i = 1; i <= length(s); i++) h = (h * 31 + index("0123456789abcdefghijklmnopqrstuvwxyz", substr(s, i, 1))) % 99991} {a[NR] = $0} END {print a[h % NR + 1]}' <<<"$kinds")
-    day "$name+$other" power_off_all "$section|at = 6.0, $fields" "$osection|at = 7.0, $ofields" "$section|at = 24.0, $fields" "$osection|at = 27.0, $ofields"
+    IFS='|' read -r other other_section other_fields < <(awk -v s="$seed$name$k" 'BEGIN {for (i = 1; i <= length(s); i++) h = (h * 31 + index("0123456789abcdefghijklmnopqrstuvwxyz", substr(s, i, 1))) % 99991} {a[NR] = $0} END {print a[h % NR + 1]}' <<<"$kinds")
+    write_day "$name+$other" power_off_all "$section|at = 6.0, $fields" "$other_section|at = 7.0, $other_fields" "$section|at = 24.0, $fields" "$other_section|at = 27.0, $other_fields"
   done
 done <<<"$kinds"
 
 "$bench" build >/dev/null
 find "$out" -name '*.toml' | sort | xargs -P "${JOBS:-4}" -I{} bash -c '"$0" run "$1" "$2" --why "a day of each trouble" >"${2%.toml}.txt" 2>&1 || true' "$bench" "$site" {}
 for f in "$out"/*.txt; do
-  grep -A1 '^day ' "$f" | tail -1 || { printf '%s: not played: ' "$(basename "$f" .txt)"; tail -1 "$f"; }
+  grep -A1 '^day ' "$f" | tail -1 || { printf '%s: no result: ' "$(basename "$f" .txt)"; tail -1 "$f"; }
 done | cut -c1-150
 echo "days with broken rules or faults, in $out:"
 grep -l -E '^rules broken|^fault|FAULT' "$out"/*.txt || echo none
