--- a/internal/enginemodel/cache.go
+++ b/internal/enginemodel/cache.go
@@ -1,41 +1,41 @@
 package enginemodel
 
-// CacheEvent tells that a prefix block came into the cache or left it.
+// CacheEvent reports that a prefix block was stored in the cache or evicted from it.
 type CacheEvent struct {
 	seq    uint64
 	hash   uint64
 	stored bool
 }
 
-// Seq returns the event's number; numbers have no gaps where they are made.
+// Seq returns the sequence number of the event. The engine numbers its events without gaps.
 func (c CacheEvent) Seq() uint64 { return c.seq }
 
 // Hash returns the chained hash of the block.
 func (c CacheEvent) Hash() uint64 { return c.hash }
 
-// Stored reports whether the block came in (true) or left (false).
+// Stored reports whether the block was stored (true) or evicted (false).
 func (c CacheEvent) Stored() bool { return c.stored }
 
-// prefixCache keeps prompt blocks in the memory that streams leave free, the
-// longest kept out first.
+// prefixCache keeps prompt blocks in the memory that no stream uses. It evicts the block that was stored
+// first.
 type prefixCache struct {
-	order  []uint64
-	known  map[uint64]struct{}
-	events []CacheEvent
-	seq    uint64
+	insertionOrder []uint64
+	cached         map[uint64]struct{}
+	events         []CacheEvent
+	seq            uint64
 }
 
-func newPrefixCache() prefixCache { return prefixCache{known: map[uint64]struct{}{}} }
+func newPrefixCache() prefixCache { return prefixCache{cached: map[uint64]struct{}{}} }
 
-func (c *prefixCache) note(hash uint64, stored bool) {
+func (c *prefixCache) recordEvent(hash uint64, stored bool) {
 	c.seq++
 	c.events = append(c.events, CacheEvent{seq: c.seq, hash: hash, stored: stored})
 }
 
-// hit returns how many leading blocks of a prompt are cached.
-func (c *prefixCache) hit(prefix []uint64) int {
+// cachedBlocks returns the number of leading blocks of a prompt that are cached.
+func (c *prefixCache) cachedBlocks(prefix []uint64) int {
 	for i, h := range prefix {
-		if _, ok := c.known[h]; !ok {
+		if _, ok := c.cached[h]; !ok {
 			return i
 		}
 	}
@@ -44,33 +44,33 @@
 
 func (c *prefixCache) store(prefix []uint64) {
 	for _, h := range prefix {
-		if _, ok := c.known[h]; ok {
+		if _, ok := c.cached[h]; ok {
 			continue
 		}
-		c.known[h] = struct{}{}
-		c.order = append(c.order, h)
-		c.note(h, true)
+		c.cached[h] = struct{}{}
+		c.insertionOrder = append(c.insertionOrder, h)
+		c.recordEvent(h, true)
 	}
 }
 
 func (c *prefixCache) evict(limit int) {
-	for len(c.order) > max(0, limit) {
-		h := c.order[0]
-		c.order = c.order[1:]
-		delete(c.known, h)
-		c.note(h, false)
+	for len(c.insertionOrder) > max(0, limit) {
+		h := c.insertionOrder[0]
+		c.insertionOrder = c.insertionOrder[1:]
+		delete(c.cached, h)
+		c.recordEvent(h, false)
 	}
 }
 
-// CacheEvents returns and forgets the events since the last call.
+// CacheEvents returns the events since the last call and discards them.
 func (e *Engine) CacheEvents() []CacheEvent {
 	out := e.cache.events
 	e.cache.events = nil
 	return out
 }
 
-// CachedHashes returns the blocks in the cache, oldest first, and the number
-// of the last event, so that a reader that missed some can start again.
+// CachedHashes returns the cached blocks, oldest first, and the number of the last event. A reader that
+// missed events resynchronizes with it.
 func (e *Engine) CachedHashes() ([]uint64, uint64) {
-	return append([]uint64(nil), e.cache.order...), e.cache.seq
+	return append([]uint64(nil), e.cache.insertionOrder...), e.cache.seq
 }
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -1,9 +1,7 @@
-// Package enginemodel is a model of a model engine that batches continuously:
-// the time of a step grows with the batch, KV memory is finite, and when it
-// runs out the engine itself preempts the newest stream of the lowest priority
-// and computes it again later. It keeps no time: each step returns how long it
-// took, so the same code runs on virtual time in the decision bench and on real
-// time in the stand-in.
+// Package enginemodel simulates a model engine with continuous batching: a step takes longer with a larger
+// batch, KV memory is finite, and when it runs out the engine preempts the newest stream of the lowest
+// priority and recomputes it later. Each step returns its duration instead of sleeping, so the decision
+// bench runs the model in virtual time and the engine stand-in runs it in real time.
 package enginemodel
 
 import (
@@ -12,32 +10,32 @@
 	"time"
 )
 
-// ErrDuplicate is returned for a stream identifier that is in use.
+// ErrDuplicate is returned for a stream ID that is in use.
 var ErrDuplicate = errors.New("stream identifier in use")
 
-// ErrUnknown is returned for a stream identifier that is not in use.
+// ErrUnknown is returned for a stream ID that is not in use.
 var ErrUnknown = errors.New("no such stream")
 
-// Settings describe an engine.
+// Settings configure an engine.
 type Settings struct {
 	// Blocks is the number of KV blocks.
 	Blocks int
 	// BlockTokens is the number of tokens in a block.
 	BlockTokens int
-	// MaxBatch is the most streams in one step.
+	// MaxBatch is the maximum number of streams in one step.
 	MaxBatch int
-	// StepBase is the time of a step with an empty batch.
+	// StepBase is the duration of a step with an empty batch.
 	StepBase time.Duration
 	// StepPerStream is added for each stream in the batch.
 	StepPerStream time.Duration
 	// StepPerPrefill is added for each prompt token computed in the step.
 	StepPerPrefill time.Duration
-	// PrefillChunk is the most prompt tokens computed in one step.
+	// PrefillChunk is the maximum number of prompt tokens computed in one step.
 	PrefillChunk int
 }
 
-// DefaultSettings returns an engine of the size used in the measurements:
-// 32,000 tokens of KV memory and 48 ms a step at 120 streams.
+// DefaultSettings returns the settings of the engine that the measurements use: 32,000 tokens of KV memory,
+// and steps of 48 ms with 120 streams.
 func DefaultSettings() Settings {
 	return Settings{
 		Blocks:         2000,
@@ -57,25 +55,26 @@
 	// Prompt and Output are numbers of tokens.
 	Prompt int
 	Output int
-	// Priority is honoured in the queue and in preemption; lower goes first.
+	// Priority orders the queue and the preemptions; streams with a lower value run first and are
+	// preempted last.
 	Priority int
-	// Prefix holds the chained hashes of the prompt's full blocks.
+	// Prefix holds the chained hashes of the full blocks of the prompt.
 	Prefix []uint64
-	// Computed is the number of the prompt's tokens whose memory was copied from another
-	// engine; they are computed anew only if the engine takes that memory away. Such a job
-	// goes before all that wait.
+	// Computed is the number of prompt tokens whose KV memory was copied from another engine. They are
+	// recomputed only after a preemption or pause that frees this memory. Such a job goes to the head
+	// of the queue.
 	Computed int
 }
 
-type seq struct {
+type stream struct {
 	job       Job
-	order     int64
+	arrival   int64
 	generated int
 	toCompute int
 	blocks    int
 }
 
-func (q *seq) tokens() int { return q.job.Prompt + q.generated }
+func (s *stream) tokens() int { return s.job.Prompt + s.generated }
 
 // Token is one output token of a step.
 type Token struct {
@@ -84,23 +83,23 @@
 	last bool
 }
 
-// ID returns the stream the token belongs to.
+// ID returns the ID of the stream.
 func (t Token) ID() string { return t.id }
 
-// N returns the token's number in its stream, from 1.
+// N returns the position of the token in its stream, starting at 1.
 func (t Token) N() int { return t.n }
 
-// Last reports whether the stream has ended with it.
+// Last reports whether this is the last token of the stream.
 func (t Token) Last() bool { return t.last }
 
-// Engine is the state of one engine.
+// Engine is the simulated engine. It is not safe for concurrent use.
 type Engine struct {
 	settings    Settings
-	running     []*seq
-	queue       []*seq
-	paused      map[string]*seq
-	used        int
-	order       int64
+	running     []*stream
+	queue       []*stream
+	paused      map[string]*stream
+	usedBlocks  int
+	lastArrival int64
 	preemptions int
 	tokens      []Token
 	cache       prefixCache
@@ -108,25 +107,25 @@
 
 // New returns an idle engine.
 func New(settings Settings) *Engine {
-	return &Engine{settings: settings, paused: map[string]*seq{}, cache: newPrefixCache()}
+	return &Engine{settings: settings, paused: map[string]*stream{}, cache: newPrefixCache()}
 }
 
-// Used returns the number of KV blocks held by streams.
-func (e *Engine) Used() int { return e.used }
+// Used returns the number of KV blocks in use by streams and by Hold.
+func (e *Engine) Used() int { return e.usedBlocks }
 
-// Settings returns the engine's description.
+// Settings returns the settings of the engine.
 func (e *Engine) Settings() Settings { return e.settings }
 
-// Batch returns the number of streams in the next step.
+// Batch returns the number of streams in the batch.
 func (e *Engine) Batch() int { return len(e.running) }
 
-// Queued returns the number of streams waiting for memory in the engine.
+// Queued returns the number of streams that wait for memory or for a place in the batch.
 func (e *Engine) Queued() int { return len(e.queue) }
 
-// Preemptions returns how often the engine itself took a stream's memory.
+// Preemptions returns the number of preemptions by the engine. Pause does not count.
 func (e *Engine) Preemptions() int { return e.preemptions }
 
-// Idle reports whether a step would do nothing.
+// Idle reports whether there is no stream to run.
 func (e *Engine) Idle() bool { return len(e.running) == 0 && len(e.queue) == 0 }
 
 // Submit queues a job.
@@ -134,89 +133,92 @@
 	if e.find(j.ID) != nil {
 		return ErrDuplicate
 	}
-	e.order++
-	e.enqueue(&seq{job: j, order: e.order})
+	e.lastArrival++
+	e.enqueue(&stream{job: j, arrival: e.lastArrival})
 	return nil
 }
 
-func (e *Engine) find(id string) *seq {
-	is := func(q *seq) bool { return q.job.ID == id }
-	if i := slices.IndexFunc(e.running, is); i >= 0 {
+func (e *Engine) find(id string) *stream {
+	match := func(s *stream) bool { return s.job.ID == id }
+	if i := slices.IndexFunc(e.running, match); i >= 0 {
 		return e.running[i]
 	}
-	if i := slices.IndexFunc(e.queue, is); i >= 0 {
+	if i := slices.IndexFunc(e.queue, match); i >= 0 {
 		return e.queue[i]
 	}
 	return e.paused[id]
 }
 
-// Hold sets memory for a number of tokens aside, as for a copy that arrives; it returns
-// false if there is none. Drop gives it back.
+// Hold reserves KV memory for a number of tokens, such as for a copy in transfer from another engine. It
+// returns false if there is not enough free memory. Drop releases the reservation.
 func (e *Engine) Hold(tokens int) bool {
 	need := e.blocksFor(tokens)
-	if e.used+need > e.settings.Blocks {
+	if e.usedBlocks+need > e.settings.Blocks {
 		return false
 	}
-	e.used += need
+	e.usedBlocks += need
 	return true
 }
 
-// Drop gives back what Hold set aside for a number of tokens.
-func (e *Engine) Drop(tokens int) { e.used -= e.blocksFor(tokens) }
+// Drop releases a reservation that Hold made for the same number of tokens.
+func (e *Engine) Drop(tokens int) { e.usedBlocks -= e.blocksFor(tokens) }
 
-func (e *Engine) enqueue(q *seq) {
-	if q.job.Computed > 0 {
-		e.queue = slices.Insert(e.queue, 0, q)
+// enqueue inserts a stream into the queue in the order of priority and arrival. Streams with copied
+// memory go first.
+func (e *Engine) enqueue(s *stream) {
+	if s.job.Computed > 0 {
+		e.queue = slices.Insert(e.queue, 0, s)
 		return
 	}
-	i, _ := slices.BinarySearchFunc(e.queue, q, func(a, b *seq) int {
+	i, _ := slices.BinarySearchFunc(e.queue, s, func(a, b *stream) int {
 		if a.job.Priority != b.job.Priority {
 			return a.job.Priority - b.job.Priority
 		}
-		return int(a.order - b.order)
+		return int(a.arrival - b.arrival)
 	})
-	e.queue = slices.Insert(e.queue, i, q)
+	e.queue = slices.Insert(e.queue, i, s)
 }
 
-func (e *Engine) remove(q *seq) {
-	is := func(o *seq) bool { return o == q }
-	e.running = slices.DeleteFunc(e.running, is)
-	e.queue = slices.DeleteFunc(e.queue, is)
-	delete(e.paused, q.job.ID)
-	e.used -= q.blocks
-	q.blocks = 0
+// remove takes a stream out of the batch, the queue or the paused streams and frees its memory.
+func (e *Engine) remove(s *stream) {
+	match := func(o *stream) bool { return o == s }
+	e.running = slices.DeleteFunc(e.running, match)
+	e.queue = slices.DeleteFunc(e.queue, match)
+	delete(e.paused, s.job.ID)
+	e.usedBlocks -= s.blocks
+	s.blocks = 0
 }
 
 // Cancel ends a stream and frees its memory.
 func (e *Engine) Cancel(id string) error {
-	q := e.find(id)
-	if q == nil {
+	s := e.find(id)
+	if s == nil {
 		return ErrUnknown
 	}
-	e.remove(q)
+	e.remove(s)
 	return nil
 }
 
-// Pause takes a stream out of the batch and frees its memory; Resume brings it
-// back at the token where it stopped.
+// Pause removes a stream from the batch or the queue and frees its memory. Resume continues it at the
+// token where it stopped.
 func (e *Engine) Pause(id string) error {
-	q := e.find(id)
-	if q == nil {
+	s := e.find(id)
+	if s == nil {
 		return ErrUnknown
 	}
-	e.remove(q)
-	e.paused[id] = q
+	e.remove(s)
+	e.paused[id] = s
 	return nil
 }
 
-// Resume queues a paused stream again; its tokens so far are computed anew.
+// Resume queues a paused stream again. Its prompt and its tokens so far are recomputed.
 func (e *Engine) Resume(id string) error {
-	q, ok := e.paused[id]
+	s, ok := e.paused[id]
 	if !ok {
 		return ErrUnknown
 	}
 	delete(e.paused, id)
-	e.enqueue(q)
+	e.enqueue(s)
 	return nil
 }
 
@@ -224,111 +226,113 @@
 	return (tokens + e.settings.BlockTokens - 1) / e.settings.BlockTokens
 }
 
-// Step runs one decode step and returns its time and the tokens it made. The
-// slice is valid until the next step.
+// Step runs one decode step and returns its duration and its tokens. The slice is valid until the next
+// step.
 func (e *Engine) Step() (time.Duration, []Token) {
 	e.tokens = e.tokens[:0]
-	e.fill()
-	e.grow()
+	e.fillBatch()
+	e.allocateBlocks()
 	prefilled := e.prefill()
 	batch := len(e.running)
 	e.decode()
-	took := e.settings.StepBase +
+	duration := e.settings.StepBase +
 		time.Duration(batch)*e.settings.StepPerStream +
 		time.Duration(prefilled)*e.settings.StepPerPrefill
-	return took, e.tokens
+	return duration, e.tokens
 }
 
-// fill moves queued streams into the batch while memory lasts.
-func (e *Engine) fill() {
+// fillBatch moves queued streams into the batch while there is memory for them. An empty batch takes one
+// stream regardless of memory, so that a stream larger than the memory does not block the queue.
+func (e *Engine) fillBatch() {
 	for len(e.queue) > 0 && len(e.running) < e.settings.MaxBatch {
-		q := e.queue[0]
-		need := e.blocksFor(q.tokens() + 1)
-		if e.used+need > e.settings.Blocks && len(e.running) > 0 {
+		s := e.queue[0]
+		need := e.blocksFor(s.tokens() + 1)
+		if e.usedBlocks+need > e.settings.Blocks && len(e.running) > 0 {
 			return
 		}
 		e.queue = e.queue[1:]
-		q.blocks = need
-		e.used += need
-		hit := e.cache.hit(q.job.Prefix) * e.settings.BlockTokens
-		q.toCompute = max(1, q.tokens()-max(hit, q.job.Computed))
-		copied := q.job.Computed > 0
-		q.job.Computed = 0
-		e.cache.store(q.job.Prefix)
+		s.blocks = need
+		e.usedBlocks += need
+		hit := e.cache.cachedBlocks(s.job.Prefix) * e.settings.BlockTokens
+		s.toCompute = max(1, s.tokens()-max(hit, s.job.Computed))
+		copied := s.job.Computed > 0
+		s.job.Computed = 0
+		e.cache.store(s.job.Prefix)
 		if copied {
-			// The little that the copy lacks is computed before the prompts of others.
-			e.running = slices.Insert(e.running, 0, q)
+			// The few tokens that the copy lacks are computed before the prompts of other streams.
+			e.running = slices.Insert(e.running, 0, s)
 			continue
 		}
-		e.running = append(e.running, q)
+		e.running = append(e.running, s)
 	}
-	e.cache.evict(e.settings.Blocks - e.used)
+	e.cache.evict(e.settings.Blocks - e.usedBlocks)
 }
 
-// grow opens the blocks that this step's tokens need, and preempts when there
-// are none.
-func (e *Engine) grow() {
+// allocateBlocks allocates the blocks for the tokens of this step. It preempts streams when there are not
+// enough free blocks.
+func (e *Engine) allocateBlocks() {
 	for i := 0; i < len(e.running); i++ {
-		q := e.running[i]
-		need := e.blocksFor(q.tokens()+1) - q.blocks
-		for need > 0 && e.used+need > e.settings.Blocks && len(e.running) > 1 {
-			v := e.newest()
-			e.preempt(v)
-			if v == q {
+		s := e.running[i]
+		need := e.blocksFor(s.tokens()+1) - s.blocks
+		for need > 0 && e.usedBlocks+need > e.settings.Blocks && len(e.running) > 1 {
+			victim := e.preemptionVictim()
+			e.preempt(victim)
+			if victim == s {
 				need = 0
 				i--
-			} else if j := slices.Index(e.running, q); j >= 0 {
+			} else if j := slices.Index(e.running, s); j >= 0 {
 				i = j
 			}
 		}
-		q.blocks += need
-		e.used += need
+		s.blocks += need
+		e.usedBlocks += need
 	}
 }
 
-func (e *Engine) newest() *seq {
-	return slices.MaxFunc(e.running, func(a, b *seq) int {
+// preemptionVictim returns the newest stream of the lowest priority in the batch.
+func (e *Engine) preemptionVictim() *stream {
+	return slices.MaxFunc(e.running, func(a, b *stream) int {
 		if a.job.Priority != b.job.Priority {
 			return a.job.Priority - b.job.Priority
 		}
-		return int(a.order - b.order)
+		return int(a.arrival - b.arrival)
 	})
 }
 
-func (e *Engine) preempt(q *seq) {
+func (e *Engine) preempt(s *stream) {
 	e.preemptions++
-	e.remove(q)
-	e.enqueue(q)
+	e.remove(s)
+	e.enqueue(s)
 }
 
-// prefill computes prompt tokens, at most a chunk a step.
+// prefill computes at most PrefillChunk prompt tokens and returns their number.
 func (e *Engine) prefill() int {
-	left := e.settings.PrefillChunk
-	for _, q := range e.running {
-		n := min(left, q.toCompute)
-		q.toCompute -= n
-		left -= n
+	budget := e.settings.PrefillChunk
+	for _, s := range e.running {
+		n := min(budget, s.toCompute)
+		s.toCompute -= n
+		budget -= n
 	}
-	return e.settings.PrefillChunk - left
+	return e.settings.PrefillChunk - budget
 }
 
-// decode makes one token for each stream whose prompt is computed.
+// decode generates one token for each stream whose prompt is fully computed.
 func (e *Engine) decode() {
-	kept := e.running[:0]
-	for _, q := range e.running {
-		if q.toCompute > 0 {
-			kept = append(kept, q)
+	unfinished := e.running[:0]
+	for _, s := range e.running {
+		if s.toCompute > 0 {
+			unfinished = append(unfinished, s)
 			continue
 		}
-		q.generated++
-		last := q.generated >= q.job.Output
-		e.tokens = append(e.tokens, Token{id: q.job.ID, n: q.generated, last: last})
+		s.generated++
+		last := s.generated >= s.job.Output
+		e.tokens = append(e.tokens, Token{id: s.job.ID, n: s.generated, last: last})
 		if last {
-			e.used -= q.blocks
+			e.usedBlocks -= s.blocks
 			continue
 		}
-		kept = append(kept, q)
+		unfinished = append(unfinished, s)
 	}
-	clear(e.running[len(kept):])
-	e.running = kept
+	clear(e.running[len(unfinished):])
+	e.running = unfinished
 }
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestEngineKeepsItsOwnRules checks, over random jobs and orders, that memory
-// stays within bounds, that every stream's tokens come once and in order, and
-// that all of it is free at the end.
-func TestEngineKeepsItsOwnRules(t *testing.T) {
+// TestMemoryBoundsAndTokenOrderUnderRandomLoad guards against leaked KV blocks and against repeated, lost or
+// reordered tokens. Random submissions, pauses and resumptions reach a small engine, so that it preempts
+// often. Memory in use has to stay within bounds and be zero at the end.
+func TestMemoryBoundsAndTokenOrderUnderRandomLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := DefaultSettings()
 		s.Blocks = rapid.IntRange(8, 60).Draw(t, "blocks")
@@ -42,7 +42,7 @@
 					paused = paused[1:]
 				}
 			default:
-				step(t, e, got)
+				stepAndCheckTokens(t, e, got)
 			}
 			if e.Used() < 0 || (e.Used() > s.Blocks && e.Batch() > 1) {
 				t.Fatalf("used %d of %d blocks", e.Used(), s.Blocks)
@@ -54,7 +54,7 @@
 			}
 		}
 		for i := 0; !e.Idle() && i < 100_000; i++ {
-			step(t, e, got)
+			stepAndCheckTokens(t, e, got)
 		}
 		for id, n := range want {
 			if got[id] != n {
@@ -62,22 +62,24 @@
 			}
 		}
 		if e.Used() != 0 {
-			t.Fatalf("%d blocks in use by nobody", e.Used())
+			t.Fatalf("%d blocks still in use after all streams ended", e.Used())
 		}
 	})
 }
 
-func step(t *rapid.T, e *Engine, got map[string]int) {
+func stepAndCheckTokens(t *rapid.T, e *Engine, got map[string]int) {
 	_, tokens := e.Step()
 	for _, k := range tokens {
 		got[k.ID()]++
 		if k.N() != got[k.ID()] {
-			t.Fatalf("stream %s: token %d came as number %d", k.ID(), got[k.ID()], k.N())
+			t.Fatalf("stream %s: token at position %d has number %d", k.ID(), got[k.ID()], k.N())
 		}
 	}
 }
 
-func TestCacheEventsTellWhatTheCacheHolds(t *testing.T) {
+// TestCacheEventsCoverCachedBlocks guards against a cached block without an event. Two prompts share
+// their first blocks, so the second prompt may add an event only for the block that is new.
+func TestCacheEventsCoverCachedBlocks(t *testing.T) {
 	e := New(DefaultSettings())
 	if err := e.Submit(Job{ID: "a", Prompt: 64, Output: 2, Prefix: []uint64{1, 2, 3, 4}}); err != nil {
 		t.Fatal(err)
@@ -97,7 +99,7 @@
 	}
 	for _, h := range hashes {
 		if !held[h] {
-			t.Errorf("block %d is cached but no event said so", h)
+			t.Errorf("block %d is cached but no event reported it", h)
 		}
 	}
 }
