--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,6 +1,6 @@
-// Package loadgen sends a bounded, seeded, open-loop load of streamed requests
-// to loopback addresses, checks every stream it reads, and reports what callers
-// saw.
+// Package loadgen sends a bounded, seeded, open-loop load of streamed requests to entries or engines on
+// loopback addresses. It checks every token that it reads and reports latencies and outcomes as callers
+// see them. "sparshorectl load" and the scenario tests run it.
 package loadgen
 
 import (
@@ -21,35 +21,35 @@
 // ErrTarget is returned for an address that is not on loopback.
 var ErrTarget = errors.New("load goes to loopback addresses only")
 
-// Options describe a load.
+// Options configure a load.
 type Options struct {
-	// URLs are the entries, used in turn.
+	// URLs are the addresses of the entries, used in turn.
 	URLs []string
-	// Key is the client API key.
+	// Key is the API key of the client account.
 	Key string
-	// Model is the model to ask for.
+	// Model is the name of the model to request.
 	Model string
-	// Requests is the number of requests, Rate how many start a second.
+	// Requests is the number of requests. Rate is the mean number of requests started per second.
 	Requests int
 	Rate     float64
-	// Seed draws arrivals and lengths.
+	// Seed seeds the arrival times and lengths.
 	Seed uint64
-	// Prompt is the number of prompt tokens, Output the median of output
-	// tokens and Spread the standard deviation of their logarithm.
+	// Prompt is the number of prompt tokens. The number of output tokens is log-normally distributed:
+	// Output is its median and Spread the standard deviation of its logarithm.
 	Prompt int
 	Output float64
 	Spread float64
-	// MaxOutput bounds the output tokens of a request.
+	// MaxOutput is the maximum number of output tokens of a request.
 	MaxOutput int
-	// Direct is set when the URLs are engines and not entries.
+	// Direct means that the URLs are engines instead of entries.
 	Direct bool
-	// Resume goes on with broken streams through the next entry.
+	// Resume continues broken streams through the next entry.
 	Resume bool
-	// Within bounds one request.
+	// Within is the time limit of a request, including its resumptions.
 	Within time.Duration
 }
 
-// Report is what callers saw.
+// Report holds the outcomes and latencies that the callers observed.
 type Report struct {
 	Asked     int     `json:"asked"`
 	Whole     int     `json:"whole"`
@@ -88,8 +88,8 @@
 const (
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
-	resumeTries     = 20
-	resumePause     = 100 * time.Millisecond
+	maxAttempts     = 20
+	resumeDelay     = 100 * time.Millisecond
 )
 
 type collector struct {
@@ -101,11 +101,11 @@
 }
 
 func newCollector() *collector {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
-	return &collector{first: h(), gap: h(), stall: h()}
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
+	return &collector{first: newHistogram(), gap: newHistogram(), stall: newHistogram()}
 }
 
-// Run sends the load and waits for its end.
+// Run sends the load and returns when the last request has ended.
 func Run(ctx context.Context, o Options) (Report, error) {
 	if err := o.Check(); err != nil {
 		return Report{}, err
@@ -115,19 +115,19 @@
 	client := &http.Client{Transport: transport}
 	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	c := newCollector()
-	began := time.Now()
-	next := began
+	started := time.Now()
+	next := started
 	var wg sync.WaitGroup
 	for i := range o.Requests {
-		body := o.body(rng, i)
+		body := o.requestBody(rng, i)
 		next = next.Add(time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second)))
 		if !sleepUntil(ctx, next) {
 			break
 		}
-		wg.Go(func() { o.one(ctx, client, c, i, body) })
+		wg.Go(func() { o.runRequest(ctx, client, c, i, body) })
 	}
 	wg.Wait()
-	return c.result(time.Since(began)), nil
+	return c.result(time.Since(started)), nil
 }
 
 func sleepUntil(ctx context.Context, t time.Time) bool {
@@ -139,7 +139,7 @@
 	}
 }
 
-func (o Options) body(rng *rand.Rand, i int) string {
+func (o Options) requestBody(rng *rand.Rand, i int) string {
 	out := int(o.Output * math.Exp(o.Spread*rng.NormFloat64()))
 	out = min(max(out, 1), o.MaxOutput)
 	filler := make([]byte, max(0, o.Prompt*4-16))
@@ -149,26 +149,27 @@
 	return fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"request %d out=%d %s"}]}`, o.Model, i, out, filler)
 }
 
-// one follows a request to its end, over broken connections if asked to.
-func (o Options) one(ctx context.Context, client *http.Client, c *collector, i int, body string) {
+// runRequest sends one request and reads its stream to the end. If Resume is set, it resumes the stream
+// after broken connections.
+func (o Options) runRequest(ctx context.Context, client *http.Client, c *collector, i int, body string) {
 	ctx, cancel := context.WithTimeout(ctx, o.Within)
 	defer cancel()
 	s := &stream{now: time.Now, started: time.Now(), direct: o.Direct}
-	var e end
+	var e streamEnd
 	resumed := false
-	for try := range resumeTries {
-		e, _ = s.ask(ctx, client, o.URLs[(i+try)%len(o.URLs)], o.Key, body)
-		again := e == endBroken || (e == endRefused && s.lastID != "")
-		if !o.Resume || !again || ctx.Err() != nil || s.lastID == "" {
+	for attempt := range maxAttempts {
+		e, _ = s.send(ctx, client, o.URLs[(i+attempt)%len(o.URLs)], o.Key, body)
+		retryable := e == endBroken || (e == endRefused && s.lastID != "")
+		if !o.Resume || !retryable || ctx.Err() != nil || s.lastID == "" {
 			break
 		}
 		resumed = true
-		time.Sleep(resumePause)
+		time.Sleep(resumeDelay)
 	}
-	c.add(s, e, resumed)
+	c.record(s, e, resumed)
 }
 
-func (c *collector) add(s *stream, e end, resumed bool) {
+func (c *collector) record(s *stream, e streamEnd, resumed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.report
@@ -178,7 +179,7 @@
 		r.Resumed++
 	}
 	switch e {
-	case endWhole:
+	case endComplete:
 		r.Whole++
 	case endCut:
 		r.Cut++
@@ -194,9 +195,9 @@
 		}
 	}
 	if s.tokens > 0 {
-		_ = c.first.RecordValue(s.first.Microseconds())
-		_ = c.stall.RecordValue(s.stall.Microseconds())
-		r.StallSum += s.stall.Seconds()
+		_ = c.first.RecordValue(s.firstTokenDelay.Microseconds())
+		_ = c.stall.RecordValue(s.stallTime.Microseconds())
+		r.StallSum += s.stallTime.Seconds()
 	}
 	for _, g := range s.gaps {
 		_ = c.gap.RecordValue(g.Microseconds())
--- a/internal/loadgen/stream.go
+++ b/internal/loadgen/stream.go
@@ -13,38 +13,38 @@
 	"time"
 )
 
-// end says how a stream ended for the caller.
-type end int
+// streamEnd is how a stream ended for the caller.
+type streamEnd int
 
 const (
-	endWhole end = iota + 1
+	endComplete streamEnd = iota + 1
 	endCut
 	endRefused
 	endBroken
 )
 
-// ErrBreach is wrapped when a stream breaks a promise: a token repeated, left
-// out, out of order, or from another generation.
-var ErrBreach = errors.New("promise broken")
+// ErrBreach is wrapped when a stream violates its guarantees: a token is repeated, missing, out of order
+// or from another generation, or a refusal lacks Retry-After.
+var ErrBreach = errors.New("stream guarantee violated")
 
-// stream follows one answer as its caller sees it, over reconnections.
+// stream checks the response to one request across reconnections.
 type stream struct {
 	now func() time.Time
-	// direct is set for an engine, whose event identifiers are its own.
+	// direct is set for engines, whose event IDs are not the generation and offset that entries send.
 	direct bool
 
-	generation string
-	offset     int64
-	tag        string
-	tokens     int64
-	lastID     string
-	started    time.Time
-	last       time.Time
-	first      time.Duration
-	gaps       []time.Duration
-	stall      time.Duration
-	outcome    string
-	breach     error
+	generation      string
+	offset          int64
+	tag             string
+	tokens          int64
+	lastID          string
+	started         time.Time
+	lastTokenAt     time.Time
+	firstTokenDelay time.Duration
+	gaps            []time.Duration
+	stallTime       time.Duration
+	outcome         string
+	breach          error
 }
 
 type event struct {
@@ -61,9 +61,8 @@
 	} `json:"error"`
 }
 
-// read follows the body of one response. It returns endBroken when the
-// connection ended without the stream's own end.
-func (s *stream) read(body io.Reader) end {
+// read reads the body of one response. It returns endBroken if the connection ends before the stream.
+func (s *stream) read(body io.Reader) streamEnd {
 	lines := bufio.NewScanner(body)
 	id := ""
 	for lines.Scan() {
@@ -72,9 +71,9 @@
 		case name == "id":
 			id = value
 		case name == "data" && value == "[DONE]":
-			return endWhole
+			return endComplete
 		case name == "data":
-			if e, done := s.take(id, value); done {
+			if e, done := s.handleEvent(id, value); done {
 				return e
 			}
 			id = ""
@@ -83,10 +82,11 @@
 	return endBroken
 }
 
-func (s *stream) take(id, data string) (end, bool) {
+// handleEvent checks one event. The second result is true if the event ends the stream.
+func (s *stream) handleEvent(id, data string) (streamEnd, bool) {
 	var e event
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		s.fault("event is no JSON: %v", err)
+		s.recordBreach("event is not valid JSON: %v", err)
 		return endBroken, true
 	}
 	if e.Error != nil {
@@ -97,45 +97,46 @@
 	}
 	for _, c := range e.Choices {
 		if text := c.Delta.Content + c.Text; text != "" {
-			s.token(text)
+			s.checkToken(text)
 		}
 	}
 	return 0, false
 }
 
-func (s *stream) fault(format string, args ...any) {
+// recordBreach keeps the first violation.
+func (s *stream) recordBreach(format string, args ...any) {
 	if s.breach == nil {
 		s.breach = fmt.Errorf("%w: "+format, append([]any{ErrBreach}, args...)...)
 	}
 }
 
-// checkID checks that offsets of one generation come one after another.
+// checkID checks that all event IDs belong to one generation and that their offsets are consecutive.
 func (s *stream) checkID(id string) {
 	i := strings.LastIndexByte(id, ':')
 	n, err := strconv.ParseInt(id[i+1:], 10, 64)
 	if i < 0 || err != nil {
-		s.fault("event identifier %q has no offset", id)
+		s.recordBreach("event ID %q has no offset", id)
 		return
 	}
 	if s.generation != "" && s.generation != id[:i] {
-		s.fault("generation changed from %s to %s", s.generation, id[:i])
+		s.recordBreach("generation changed from %s to %s", s.generation, id[:i])
 	}
 	if n != s.offset+1 {
-		s.fault("offset %d followed %d", n, s.offset)
+		s.recordBreach("event offset is %d after %d", n, s.offset)
 	}
 	s.generation, s.offset, s.lastID = id[:i], n, id
 }
 
-// token checks the engine stand-in's own mark and number in a token's text, so
-// that the check does not rest on the system's word.
-func (s *stream) token(text string) {
+// checkToken checks the tag and the number that the engine stand-in writes into the text of each token.
+// This does not depend on the event IDs of the system under test.
+func (s *stream) checkToken(text string) {
 	now := s.now()
 	if s.tokens == 0 {
-		s.first = now.Sub(s.started)
+		s.firstTokenDelay = now.Sub(s.started)
 	} else {
-		s.gap(now.Sub(s.last))
+		s.recordGap(now.Sub(s.lastTokenAt))
 	}
-	s.last = now
+	s.lastTokenAt = now
 	tag, number, ok := strings.Cut(strings.TrimSpace(text), ".")
 	n, err := strconv.ParseInt(number, 10, 64)
 	s.tokens++
@@ -143,26 +144,26 @@
 		return
 	}
 	if s.tag != "" && tag != s.tag {
-		s.fault("token of generation %s among those of %s", tag, s.tag)
+		s.recordBreach("token has tag %s in a stream with tag %s", tag, s.tag)
 	}
 	if n != s.tokens {
-		s.fault("token %d came as number %d", n, s.tokens)
+		s.recordBreach("token number %d received at position %d", n, s.tokens)
 	}
 	s.tag = tag
 }
 
-// stallAfter is the gap between tokens above which a stream counts as stalled.
-const stallAfter = 250 * time.Millisecond
+// stallThreshold is the gap between two tokens above which the excess counts as stall time.
+const stallThreshold = 250 * time.Millisecond
 
-func (s *stream) gap(d time.Duration) {
+func (s *stream) recordGap(d time.Duration) {
 	s.gaps = append(s.gaps, d)
-	if d > stallAfter {
-		s.stall += d - stallAfter
+	if d > stallThreshold {
+		s.stallTime += d - stallThreshold
 	}
 }
 
-// ask sends the request, or asks to go on after the last event received.
-func (s *stream) ask(ctx context.Context, client *http.Client, url, key, body string) (end, error) {
+// send sends the request. If events were received before, it asks to resume after the last of them.
+func (s *stream) send(ctx context.Context, client *http.Client, url, key, body string) (streamEnd, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return endBroken, err
@@ -180,7 +181,7 @@
 	if resp.StatusCode != http.StatusOK {
 		s.outcome = resp.Header.Get("Sparshore-Outcome")
 		if s.lastID == "" && s.outcome == "not-run" && resp.Header.Get("Retry-After") == "" && resp.StatusCode == http.StatusTooManyRequests {
-			s.fault("refusal without Retry-After")
+			s.recordBreach("refusal with status 429 has no Retry-After header")
 		}
 		return endRefused, nil
 	}
