--- a/internal/standin/backup.go
+++ b/internal/standin/backup.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// backUp copies the table.
+// backUp saves a copy of the table.
 func (p *Platform) backUp(http.ResponseWriter, *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.backup = cloneItems(p.items)
 }
 
-// restore brings the table back from its latest copy: what was written since is lost. The object store
-// loses nothing.
+// restore replaces the table with its latest backup, so writes after that backup are lost. The object
+// store keeps all of its objects.
 func (p *Platform) restore(http.ResponseWriter, *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/chunks.go
+++ b/internal/standin/chunks.go
@@ -6,15 +6,15 @@
 	"net/http"
 )
 
-// chunkWriter writes a generation as OpenAI stream chunks, with faults.
+// chunkWriter writes one generation as OpenAI stream chunks and injects the stream faults.
 type chunkWriter struct {
-	w      http.ResponseWriter
-	id     string
-	model  string
-	prompt int
-	chat   bool
-	faults engineFaults
-	sent   int
+	w            http.ResponseWriter
+	id           string
+	model        string
+	promptTokens int
+	chat         bool
+	faults       engineFaults
+	sent         int
 }
 
 func (c *chunkWriter) begin() {
@@ -29,11 +29,11 @@
 	}
 }
 
-// token writes one token; it returns false when the stream is to break off.
-func (c *chunkWriter) token(n int) bool {
+// writeToken writes one token. It returns false when a fault ends the stream after this token.
+func (c *chunkWriter) writeToken(n int) bool {
 	text := fmt.Sprintf("%s.%d ", Tag(c.id), n)
 	for range 1 + c.faults.Repeat {
-		c.chunk(n, text, nil)
+		c.writeChunk(n, text, nil)
 	}
 	c.sent++
 	if c.faults.Garbage > 0 && c.sent >= c.faults.Garbage {
@@ -46,22 +46,23 @@
 
 func (c *chunkWriter) finish() {
 	stop := "stop"
-	c.chunk(c.sent+1, "", &stop)
-	c.usage()
+	c.writeChunk(c.sent+1, "", &stop)
+	c.writeUsage()
 	_, _ = fmt.Fprint(c.w, "data: [DONE]\n\n")
 	c.flush()
 }
 
-// usage closes the stream with the token counts, as stream_options asks.
-func (c *chunkWriter) usage() {
+// writeUsage writes the token counts, which OpenAI sends last when stream_options asks for them. The
+// stand-in always sends them.
+func (c *chunkWriter) writeUsage() {
 	b, _ := json.Marshal(map[string]any{
 		"id": c.id, "model": c.model, "choices": []any{},
-		"usage": map[string]int{"prompt_tokens": c.prompt, "completion_tokens": c.sent, "total_tokens": c.prompt + c.sent},
+		"usage": map[string]int{"prompt_tokens": c.promptTokens, "completion_tokens": c.sent, "total_tokens": c.promptTokens + c.sent},
 	})
 	_, _ = fmt.Fprintf(c.w, "data: %s\n\n", b)
 }
 
-func (c *chunkWriter) chunk(n int, text string, finish *string) {
+func (c *chunkWriter) writeChunk(n int, text string, finish *string) {
 	choice := map[string]any{"index": 0, "finish_reason": finish}
 	object := "text_completion"
 	if c.chat {
--- a/internal/standin/dynamo.go
+++ b/internal/standin/dynamo.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// The part of the DynamoDB JSON protocol that the system uses: GetItem, Query
-// on the group, and TransactWriteItems with conditional Put.
+// This file implements the subset of the DynamoDB JSON protocol that the system uses: GetItem, Query by
+// group, and TransactWriteItems with conditional Put.
 
 type attribute struct {
 	S *string `json:"S,omitempty"`
@@ -36,7 +36,7 @@
 
 func (p *Platform) dynamo(w http.ResponseWriter, r *http.Request) {
 	op := strings.TrimPrefix(r.Header.Get("X-Amz-Target"), dynamoTarget)
-	if !p.admit(w, "table_"+strings.ToLower(op)) {
+	if !p.applyFaults(w, "table_"+strings.ToLower(op)) {
 		return
 	}
 	var in dynamoRequest
@@ -110,10 +110,13 @@
 	}
 }
 
+// cancellationReason is the result of one operation of a cancelled transaction.
 type cancellationReason struct {
 	Code string `json:"Code"`
 }
 
+// apply executes a transaction if all of its conditions hold. Otherwise it changes nothing and returns the
+// result of each condition.
 func (p *Platform) apply(in dynamoRequest) ([]cancellationReason, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +124,7 @@
 	ok := true
 	for i, t := range in.TransactItems {
 		reasons[i].Code = "None"
-		if t.Put == nil || !p.holds(t.Put) {
+		if t.Put == nil || !p.conditionHolds(t.Put) {
 			reasons[i].Code = "ConditionalCheckFailed"
 			ok = false
 		}
@@ -139,9 +142,9 @@
 	return reasons, true
 }
 
-// holds evaluates the forms of condition that the system writes: that the row is not there, or that
-// it has a revision, and a value if one is given.
-func (p *Platform) holds(put *dynamoPut) bool {
+// conditionHolds evaluates the only two forms of condition that the system uses: the row does not exist,
+// or it has the given revision and, if one is given, the given value. The caller holds p.mu.
+func (p *Platform) conditionHolds(put *dynamoPut) bool {
 	old, exists := p.items[put.Item.text("grp")][put.Item.text("nam")]
 	if strings.HasPrefix(put.ConditionExpression, "attribute_not_exists(") {
 		return !exists
@@ -151,6 +154,6 @@
 	if !exists || want == nil || have == nil || *want != *have {
 		return false
 	}
-	was := put.ExpressionAttributeValues[":v"].B
-	return was == nil || old["val"].B != nil && *was == *old["val"].B
+	wantValue := put.ExpressionAttributeValues[":v"].B
+	return wantValue == nil || old["val"].B != nil && *wantValue == *old["val"].B
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -19,53 +19,55 @@
 	"github.com/sparshore/sparshore/internal/enginemodel"
 )
 
-// EngineSettings describe an engine stand-in.
+// EngineSettings configures an Engine.
 type EngineSettings struct {
-	// Model is the engine's memory and speed.
+	// Model sets the memory size and step times of the simulated engine.
 	Model enginemodel.Settings
 	// Speed divides all step times; 1 is real time.
 	Speed float64
-	// LoadLag is how old the load page is.
+	// LoadLag is the age of the load report that GET /load returns.
 	LoadLag time.Duration
-	// ChecksOrders makes the engine refuse orders with an old fencing token.
+	// ChecksOrders makes the engine reject commands with a fencing token lower than the highest it has
+	// received.
 	ChecksOrders bool
-	// Seed draws the output lengths.
+	// Seed seeds the random output lengths.
 	Seed uint64
 }
 
-// engineFaults is what the engine was told to do wrong.
+// engineFaults are the faults to inject, set by PUT /control/faults.
 type engineFaults struct {
-	// Garbage sends bytes that are no SSE after that many tokens.
+	// Garbage makes a stream send bytes that are not valid SSE after this many tokens, and then end.
 	Garbage int `json:"garbage"`
-	// StopAfter closes the connection after that many tokens.
+	// StopAfter closes the connection after this many tokens.
 	StopAfter int `json:"stop_after"`
-	// Repeat sends each token that many more times.
+	// Repeat sends each token this many additional times.
 	Repeat int `json:"repeat"`
-	// Stall stops all decoding.
+	// Stall stops decoding of all streams.
 	Stall bool `json:"stall"`
-	// GapEvery leaves out every n-th cache event.
+	// GapEvery drops every cache event whose sequence number is a multiple of it; 0 drops none.
 	GapEvery int `json:"gap_every"`
 }
 
-// Engine is a stand-in for a model engine with the OpenAI-compatible API.
+// Engine is a simulated model engine with an OpenAI-compatible API. Run has to be running for requests to
+// make progress.
 type Engine struct {
 	settings EngineSettings
 
-	mu      sync.Mutex
-	model   *enginemodel.Engine
-	streams map[string]*feed
-	wake    chan struct{}
-	faults  engineFaults
-	fence   int64
-	load    []loadPage
-	cache   []cacheEvent
-	loaded  map[string]bool
-	counts  map[string]int
-	nextID  int
-}
-
-// loadPage is the engine's report of its load.
-type loadPage struct {
+	mu           sync.Mutex
+	model        *enginemodel.Engine
+	streams      map[string]*streamProgress
+	wake         chan struct{}
+	faults       engineFaults
+	highestFence int64
+	loadReports  []loadReport
+	cacheEvents  []cacheEvent
+	loadedModels map[string]bool
+	counts       map[string]int
+	nextID       int
+}
+
+// loadReport is the load of the engine at one moment, as GET /load returns it.
+type loadReport struct {
 	At          int64 `json:"at_unix_ms"`
 	Running     int   `json:"running"`
 	Queued      int   `json:"queued"`
@@ -75,6 +77,7 @@
 	Preemptions int   `json:"preemptions"`
 }
 
+// cacheEvent reports that a prefix block was stored in the cache or evicted from it.
 type cacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Hash   uint64 `json:"hash"`
@@ -84,50 +87,52 @@
 // NewEngine returns an idle engine.
 func NewEngine(settings EngineSettings) *Engine {
 	return &Engine{
-		settings: settings,
-		model:    enginemodel.New(settings.Model),
-		streams:  map[string]*feed{},
-		wake:     make(chan struct{}, 1),
-		loaded:   map[string]bool{},
-		counts:   map[string]int{},
+		settings:     settings,
+		model:        enginemodel.New(settings.Model),
+		streams:      map[string]*streamProgress{},
+		wake:         make(chan struct{}, 1),
+		loadedModels: map[string]bool{},
+		counts:       map[string]int{},
 	}
 }
 
-// Handler serves the engine's API.
+// Handler serves the API of the engine and the control endpoints of its faults and counters.
 func (e *Engine) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/chat/completions", e.complete).Methods(http.MethodPost)
-	r.HandleFunc("/v1/completions", e.complete).Methods(http.MethodPost)
+	r.HandleFunc("/v1/chat/completions", e.handleCompletion).Methods(http.MethodPost)
+	r.HandleFunc("/v1/completions", e.handleCompletion).Methods(http.MethodPost)
 	r.HandleFunc("/load", e.getLoad).Methods(http.MethodGet)
 	r.HandleFunc("/cache/events", e.getCacheEvents).Methods(http.MethodGet)
-	r.HandleFunc("/orders", e.order).Methods(http.MethodPost)
+	r.HandleFunc("/orders", e.handleCommand).Methods(http.MethodPost)
 	r.HandleFunc("/control/faults", e.setFaults).Methods(http.MethodPut)
 	r.HandleFunc("/control/counts", e.getCounts).Methods(http.MethodGet)
 	return r
 }
 
-// Run decodes until ctx ends.
+// Run executes decode steps until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.mu.Lock()
 		idle := e.model.Idle() || e.faults.Stall
-		var took time.Duration
+		var stepTime time.Duration
 		if !idle {
 			var tokens []enginemodel.Token
-			took, tokens = e.model.Step()
+			stepTime, tokens = e.model.Step()
 			e.deliver(tokens)
 		}
-		e.report()
+		e.recordReports()
 		e.mu.Unlock()
-		e.pause(ctx, idle, time.Duration(float64(took)/e.settings.Speed))
+		e.waitForNextStep(ctx, idle, time.Duration(float64(stepTime)/e.settings.Speed))
 	}
 }
 
 const idlePoll = 20 * time.Millisecond
 
-func (e *Engine) pause(ctx context.Context, idle bool, took time.Duration) {
+// waitForNextStep sleeps for the duration of the last step. An idle engine waits for a new request or
+// command, at most idlePoll, so that its load reports stay current.
+func (e *Engine) waitForNextStep(ctx context.Context, idle bool, stepTime time.Duration) {
 	if !idle {
-		time.Sleep(took)
+		time.Sleep(stepTime)
 		return
 	}
 	select {
@@ -137,20 +142,24 @@
 	}
 }
 
+// deliver updates the progress of each stream that got a token and notifies its writer.
 func (e *Engine) deliver(tokens []enginemodel.Token) {
 	for _, t := range tokens {
 		e.counts["tokens"]++
-		if f, ok := e.streams[t.ID()]; ok {
-			f.made, f.last = t.N(), t.Last()
-			f.poke()
+		if progress, ok := e.streams[t.ID()]; ok {
+			progress.decoded, progress.finished = t.N(), t.Last()
+			progress.notify()
 		}
 	}
 }
 
-const keptReports = 512
+// reportHistory is the number of load reports kept. Cache events are cut to twice that number when they
+// exceed four times that number.
+const reportHistory = 512
 
-func (e *Engine) report() {
-	page := loadPage{
+// recordReports appends the current load report and the new cache events to their histories.
+func (e *Engine) recordReports() {
+	report := loadReport{
 		At:          time.Now().UnixMilli(),
 		Running:     e.model.Batch(),
 		Queued:      e.model.Queued(),
@@ -159,18 +168,18 @@
 		BlockTokens: e.settings.Model.BlockTokens,
 		Preemptions: e.model.Preemptions(),
 	}
-	e.load = append(e.load, page)
-	if len(e.load) > keptReports {
-		e.load = e.load[len(e.load)-keptReports:]
+	e.loadReports = append(e.loadReports, report)
+	if len(e.loadReports) > reportHistory {
+		e.loadReports = e.loadReports[len(e.loadReports)-reportHistory:]
 	}
 	for _, c := range e.model.CacheEvents() {
 		if e.faults.GapEvery > 0 && c.Seq()%uint64(e.faults.GapEvery) == 0 {
 			continue
 		}
-		e.cache = append(e.cache, cacheEvent{Seq: c.Seq(), Hash: c.Hash(), Stored: c.Stored()})
+		e.cacheEvents = append(e.cacheEvents, cacheEvent{Seq: c.Seq(), Hash: c.Hash(), Stored: c.Stored()})
 	}
-	if len(e.cache) > 4*keptReports {
-		e.cache = e.cache[len(e.cache)-2*keptReports:]
+	if len(e.cacheEvents) > 4*reportHistory {
+		e.cacheEvents = e.cacheEvents[len(e.cacheEvents)-2*reportHistory:]
 	}
 }
 
@@ -178,13 +187,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	limit := time.Now().Add(-e.settings.LoadLag).UnixMilli()
-	page := loadPage{At: limit, Blocks: e.settings.Model.Blocks, BlockTokens: e.settings.Model.BlockTokens}
-	for _, p := range e.load {
+	report := loadReport{At: limit, Blocks: e.settings.Model.Blocks, BlockTokens: e.settings.Model.BlockTokens}
+	for _, p := range e.loadReports {
 		if p.At <= limit {
-			page = p
+			report = p
 		}
 	}
-	writeJSON(w, page)
+	writeJSON(w, report)
 }
 
 func (e *Engine) getCacheEvents(w http.ResponseWriter, r *http.Request) {
@@ -192,7 +201,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := []cacheEvent{}
-	for _, c := range e.cache {
+	for _, c := range e.cacheEvents {
 		if c.Seq > after {
 			out = append(out, c)
 		}
@@ -219,92 +228,93 @@
 	writeJSON(w, e.counts)
 }
 
-// engineOrder is a fenced order of the system to the engine.
-type engineOrder struct {
+// fencedCommand is a command to the engine with the fencing token of its sender.
+type fencedCommand struct {
 	Fence  int64  `json:"fence"`
 	Kind   string `json:"kind"`
 	Stream string `json:"stream"`
 	Model  string `json:"model"`
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
-	var o engineOrder
-	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+func (e *Engine) handleCommand(w http.ResponseWriter, r *http.Request) {
+	var command fencedCommand
+	if err := json.NewDecoder(r.Body).Decode(&command); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.settings.ChecksOrders && o.Fence < e.fence {
+	if e.settings.ChecksOrders && command.Fence < e.highestFence {
 		e.counts["fenced"]++
 		http.Error(w, "fencing token is too old", http.StatusConflict)
 		return
 	}
-	e.fence = max(e.fence, o.Fence)
-	if err := e.obey(o); err != nil {
+	e.highestFence = max(e.highestFence, command.Fence)
+	if err := e.execute(command); err != nil {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	e.counts["order_"+o.Kind]++
+	e.counts["order_"+command.Kind]++
 	writeJSON(w, map[string]any{})
-	e.poke()
+	e.notify()
 }
 
-var errUnknownOrder = errors.New("unknown order")
+var errUnknownCommand = errors.New("unknown order")
 
-func (e *Engine) obey(o engineOrder) error {
-	switch o.Kind {
+func (e *Engine) execute(command fencedCommand) error {
+	switch command.Kind {
 	case "cancel":
-		e.end(o.Stream)
-		return e.model.Cancel(o.Stream)
+		e.endStream(command.Stream)
+		return e.model.Cancel(command.Stream)
 	case "pause":
-		return e.model.Pause(o.Stream)
+		return e.model.Pause(command.Stream)
 	case "resume":
-		return e.model.Resume(o.Stream)
+		return e.model.Resume(command.Stream)
 	case "load":
-		e.loaded[o.Model] = true
+		e.loadedModels[command.Model] = true
 		return nil
 	case "unload":
-		delete(e.loaded, o.Model)
+		delete(e.loadedModels, command.Model)
 		return nil
 	default:
-		return fmt.Errorf("%w: %s", errUnknownOrder, o.Kind)
+		return fmt.Errorf("%w: %s", errUnknownCommand, command.Kind)
 	}
 }
 
-func (e *Engine) end(id string) {
-	if f, ok := e.streams[id]; ok {
-		f.ended = true
-		f.poke()
+func (e *Engine) endStream(id string) {
+	if progress, ok := e.streams[id]; ok {
+		progress.cancelled = true
+		progress.notify()
 		delete(e.streams, id)
 	}
 }
 
-// feed tells the writer of one stream how far decoding has come.
-type feed struct {
-	made  int
-	last  bool
-	ended bool
-	wake  chan struct{}
+// streamProgress is the state of one stream that the decode loop passes to the goroutine that writes the
+// response.
+type streamProgress struct {
+	decoded   int
+	finished  bool
+	cancelled bool
+	wake      chan struct{}
 }
 
-func newFeed() *feed { return &feed{wake: make(chan struct{}, 1)} }
+func newStreamProgress() *streamProgress { return &streamProgress{wake: make(chan struct{}, 1)} }
 
-func (f *feed) poke() {
+func (p *streamProgress) notify() {
 	select {
-	case f.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Engine) poke() {
+func (e *Engine) notify() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// completionRequest is the part of the OpenAI request that matters here.
+// completionRequest holds the fields of an OpenAI completion request that the stand-in uses.
 type completionRequest struct {
 	Model    string `json:"model"`
 	Prompt   string `json:"prompt"`
@@ -325,15 +335,17 @@
 
 func (c completionRequest) promptTokens() int { return len(c.text())/bytesPerToken + 1 }
 
-var outputMark = regexp.MustCompile(`out=(\d+)`)
+// outputLengthPattern finds the output length that a prompt asks for. Load generators and tests write it
+// into the prompt to choose the length of each stream.
+var outputLengthPattern = regexp.MustCompile(`out=(\d+)`)
 
-// bytesPerToken turns text into a number of prompt tokens.
+// bytesPerToken is the length of text that counts as one prompt token.
 const bytesPerToken = 4
 
-func (e *Engine) job(id string, c completionRequest, priority int) enginemodel.Job {
+func (e *Engine) newJob(id string, c completionRequest, priority int) enginemodel.Job {
 	text := c.text()
-	out := e.draw(id)
-	if m := outputMark.FindStringSubmatch(text); m != nil {
+	out := e.drawOutputLength(id)
+	if m := outputLengthPattern.FindStringSubmatch(text); m != nil {
 		out, _ = strconv.Atoi(m[1])
 	}
 	if limit := max(c.MaxTokens, c.MaxCompletionTokens); limit > 0 {
@@ -348,7 +360,8 @@
 	}
 }
 
-// Prefix returns the chained hashes of a prompt's full blocks.
+// Prefix returns the chained hashes of the full blocks of a prompt: each hash covers its block and all
+// blocks before it.
 func Prefix(text string, blockTokens int) []uint64 {
 	h := fnv.New64a()
 	size := blockTokens * bytesPerToken
@@ -362,61 +375,62 @@
 }
 
 const (
-	medianOutput = 60
-	outputSpread = 1.2
+	medianOutput    = 60
+	outputLogStdDev = 1.2
 )
 
-func (e *Engine) draw(id string) int {
+// drawOutputLength returns a log-normally distributed output length that depends only on the seed and the
+// request ID.
+func (e *Engine) drawOutputLength(id string) int {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	rng := rand.New(rand.NewPCG(e.settings.Seed, h.Sum64()))
-	return int(medianOutput * math.Exp(outputSpread*rng.NormFloat64()))
+	return int(medianOutput * math.Exp(outputLogStdDev*rng.NormFloat64()))
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var c completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	id, f, faults, err := e.submit(r, c)
+	id, progress, faults, err := e.submit(r, c)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
-	defer e.forget(id)
-	out := &chunkWriter{w: w, id: id, model: c.Model, prompt: c.promptTokens(), chat: c.Messages != nil, faults: faults}
+	defer e.releaseStream(id)
+	out := &chunkWriter{w: w, id: id, model: c.Model, promptTokens: c.promptTokens(), chat: c.Messages != nil, faults: faults}
 	out.begin()
 	for {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-f.wake:
+		case <-progress.wake:
 		}
-		if !e.write(out, f) {
+		if !e.writeTokens(out, progress) {
 			return
 		}
 	}
 }
 
-// write sends the tokens made since the last call; it returns false at the
-// end of the stream.
-func (e *Engine) write(out *chunkWriter, f *feed) bool {
+// writeTokens sends the tokens decoded since the last call. It returns false at the end of the stream.
+func (e *Engine) writeTokens(out *chunkWriter, progress *streamProgress) bool {
 	e.mu.Lock()
-	made, last, ended := f.made, f.last, f.ended
+	decoded, finished, cancelled := progress.decoded, progress.finished, progress.cancelled
 	e.mu.Unlock()
-	for out.sent < made {
-		if !out.token(out.sent + 1) {
+	for out.sent < decoded {
+		if !out.writeToken(out.sent + 1) {
 			return false
 		}
 	}
-	if last {
+	if finished {
 		out.finish()
 	}
-	return !last && !ended
+	return !finished && !cancelled
 }
 
-func (e *Engine) submit(r *http.Request, c completionRequest) (string, *feed, engineFaults, error) {
+func (e *Engine) submit(r *http.Request, c completionRequest) (string, *streamProgress, engineFaults, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := r.Header.Get("X-Request-Id")
@@ -425,17 +439,19 @@
 		id = "direct-" + strconv.Itoa(e.nextID)
 	}
 	priority, _ := strconv.Atoi(r.Header.Get("X-Priority"))
-	if err := e.model.Submit(e.job(id, c, priority)); err != nil {
+	if err := e.model.Submit(e.newJob(id, c, priority)); err != nil {
 		return "", nil, e.faults, fmt.Errorf("stream %s: %w", id, err)
 	}
-	f := newFeed()
-	e.streams[id] = f
+	progress := newStreamProgress()
+	e.streams[id] = progress
 	e.counts["submitted"]++
-	e.poke()
-	return id, f, e.faults, nil
+	e.notify()
+	return id, progress, e.faults, nil
 }
 
-func (e *Engine) forget(id string) {
+// releaseStream frees a stream whose response has ended. If it was still being decoded, it counts as
+// cancelled.
+func (e *Engine) releaseStream(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.streams, id)
@@ -444,8 +460,8 @@
 	}
 }
 
-// Tag returns the mark that all tokens of one stream carry, so that a reader
-// can tell tokens of different generations apart.
+// Tag returns the prefix of all token texts of one stream. Readers use it to detect a token that belongs
+// to another generation.
 func Tag(id string) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
--- a/internal/standin/heldback.go
+++ b/internal/standin/heldback.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// heldBack is a connection that is not read before a time.
-type heldBack struct {
+// delayedConn is a TCP connection whose reads block until a given time.
+type delayedConn struct {
 	*net.TCPConn
 	until time.Time
 }
 
-// NewHeldBack returns a TCP connection that is not read before a time, as while the process that
-// has it does not get to run.
-func NewHeldBack(c net.Conn, until time.Time) net.Conn { return &heldBack{c.(*net.TCPConn), until} }
+// NewHeldBack returns a connection whose reads block until the given time. It simulates a receiver whose
+// process is not scheduled while its peer keeps sending.
+func NewHeldBack(c net.Conn, until time.Time) net.Conn { return &delayedConn{c.(*net.TCPConn), until} }
 
-// Read waits until the connection may be read.
-func (h *heldBack) Read(b []byte) (int, error) {
-	time.Sleep(time.Until(h.until))
-	return h.TCPConn.Read(b)
+// Read waits until reads are allowed.
+func (c *delayedConn) Read(b []byte) (int, error) {
+	time.Sleep(time.Until(c.until))
+	return c.TCPConn.Read(b)
 }
--- a/internal/standin/main.go
+++ b/internal/standin/main.go
@@ -15,41 +15,41 @@
 	"github.com/sparshore/sparshore/internal/version"
 )
 
-type engineCommand struct {
+type engineArguments struct {
 	Listen       string        `arg:"--listen,required" help:"address to listen on"`
-	Speed        float64       `arg:"--speed" default:"1" help:"times as fast as real time"`
-	Blocks       int           `arg:"--blocks" default:"2000" help:"KV blocks"`
-	LoadLag      time.Duration `arg:"--load-lag" default:"500ms" help:"age of the load page"`
-	ChecksOrders bool          `arg:"--checks-orders" help:"refuse orders with an old fencing token"`
-	Seed         uint64        `arg:"--seed" default:"1" help:"seed of the output lengths"`
+	Speed        float64       `arg:"--speed" default:"1" help:"speed relative to real time"`
+	Blocks       int           `arg:"--blocks" default:"2000" help:"number of KV blocks"`
+	LoadLag      time.Duration `arg:"--load-lag" default:"500ms" help:"age of the load report"`
+	ChecksOrders bool          `arg:"--checks-orders" help:"reject commands with an old fencing token"`
+	Seed         uint64        `arg:"--seed" default:"1" help:"seed of the random output lengths"`
 }
 
-type listenCommand struct {
+type listenArguments struct {
 	Listen string `arg:"--listen,required" help:"address to listen on"`
 }
 
-type relayCommand struct {
+type relayArguments struct {
 	Listen  string `arg:"--listen,required" help:"address to listen on"`
-	Control string `arg:"--control,required" help:"address of the relay's control page"`
-	To      string `arg:"--to,required" help:"address to pass connections on to"`
+	Control string `arg:"--control,required" help:"address of the control API"`
+	To      string `arg:"--to,required" help:"address to forward connections to"`
 }
 
 type arguments struct {
-	Engine   *engineCommand `arg:"subcommand:engine" help:"a model engine"`
-	Service  *listenCommand `arg:"subcommand:service" help:"a plain service"`
-	Platform *listenCommand `arg:"subcommand:platform" help:"table store, object store and VM list"`
-	Relay    *relayCommand  `arg:"subcommand:relay" help:"a TCP relay that can be cut"`
+	Engine   *engineArguments `arg:"subcommand:engine" help:"a model engine"`
+	Service  *listenArguments `arg:"subcommand:service" help:"a plain service"`
+	Platform *listenArguments `arg:"subcommand:platform" help:"table store, object store and VM list"`
+	Relay    *relayArguments  `arg:"subcommand:relay" help:"a TCP proxy that can be cut"`
 }
 
-// Description is printed in the help text.
+// Description implements arg.Described: it is part of the help text.
 func (arguments) Description() string {
-	return "sparshore-standin runs stand-ins for tests and the demo.\n"
+	return "sparshore-standin simulates the systems around sparshore for tests and the demo.\n"
 }
 
-// Version is printed by --version.
+// Version implements arg.Versioned: it is the output of --version.
 func (arguments) Version() string { return "sparshore-standin " + version.String() }
 
-// Main runs a stand-in and returns its exit code.
+// Main runs the stand-in that the arguments select until SIGTERM or SIGINT, and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var a arguments
 	_, code, done := commandline.Parse("sparshore-standin", &a, args, stdout, stderr)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,7 +1,7 @@
-// Package standin holds small stand-ins for the systems around this one, for
-// tests and the demo: the platform's stores and VM list, a model engine and a
-// plain service. They speak the published protocols over loopback and can be
-// told to fail.
+// Package standin simulates the systems around this one: the table store, object store and VM list of the
+// platform, the users' record store, a model engine, a plain service and a TCP proxy. Tests run them in
+// process, and the demo runs them through the sparshore-standin command. They inject faults on request; all
+// but the record store speak the published protocols over loopback.
 package standin
 
 import (
@@ -19,46 +19,47 @@
 	"github.com/gorilla/mux"
 )
 
-// Platform is a stand-in for the table store, object store and VM list.
+// Platform simulates the table store, the object store and the VM list.
 type Platform struct {
 	now func() time.Time
 
 	mu     sync.Mutex
 	faults platformFaults
 	items  map[string]map[string]dynamoItem
-	// backup is the copy of the table that it can be restored from.
+	// backup is the copy of items that a restore brings back.
 	backup  map[string]map[string]dynamoItem
 	objects map[string][]byte
 	vms     map[string]vmChange
 	counts  map[string]int
 }
 
-// platformFaults is what the platform was told to do wrong.
+// platformFaults are the faults to inject, set by PUT /control/faults.
 type platformFaults struct {
-	// Outage refuses all calls to the stores.
+	// Outage rejects all calls to the table store and the object store.
 	Outage bool `json:"outage"`
-	// VMOutage refuses the VM list.
+	// VMOutage rejects all reads of the VM list.
 	VMOutage bool `json:"vm_outage"`
-	// DelayMS makes every call slow.
+	// DelayMS delays each call to the table store and the object store.
 	DelayMS int `json:"delay_ms"`
-	// LoseReplies is the number of table writes that take effect and get no
-	// reply, LoseObjectReplies the same for the object store.
+	// LoseReplies is the number of table writes that take effect but get no reply. LoseObjectReplies is
+	// the same for the object store.
 	LoseReplies       int `json:"lose_replies"`
 	LoseObjectReplies int `json:"lose_object_replies"`
-	// VMLagMS is how late a change of a VM is listed.
+	// VMLagMS is the delay before a change of a VM appears in the list.
 	VMLagMS int `json:"vm_lag_ms"`
 }
 
+// vmChange is the state of a VM from visibleAt on. Until then the list shows previous.
 type vmChange struct {
 	Name      string `json:"name"`
 	Zone      string `json:"zone"`
 	Address   string `json:"address"`
 	State     string `json:"state"`
 	visibleAt time.Time
-	before    *vmChange
+	previous  *vmChange
 }
 
-// NewPlatform returns an empty platform.
+// NewPlatform returns a platform with empty stores and no VMs.
 func NewPlatform(now func() time.Time) *Platform {
 	return &Platform{
 		now:     now,
@@ -69,7 +70,7 @@
 	}
 }
 
-// Handler serves all of the platform on one address.
+// Handler serves all APIs of the platform and its control endpoints on one address.
 func (p *Platform) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/control/faults", p.setFaults).Methods(http.MethodPut)
@@ -104,8 +105,8 @@
 	defer p.mu.Unlock()
 	v.visibleAt = p.now().Add(time.Duration(p.faults.VMLagMS) * time.Millisecond)
 	if old, ok := p.vms[v.Name]; ok {
-		old.before = nil
-		v.before = &old
+		old.previous = nil
+		v.previous = &old
 	}
 	p.vms[v.Name] = v
 }
@@ -127,10 +128,10 @@
 	out := []vmChange{}
 	for _, v := range p.vms {
 		if p.now().Before(v.visibleAt) {
-			if v.before == nil {
+			if v.previous == nil {
 				continue
 			}
-			v = *v.before
+			v = *v.previous
 		}
 		if v.State != "gone" {
 			out = append(out, v)
@@ -154,9 +155,9 @@
 	_, _ = w.Write(b)
 }
 
-// admit applies the faults that come before a call's effect. It reports
-// whether the call may go on.
-func (p *Platform) admit(w http.ResponseWriter, kind string) bool {
+// applyFaults counts a call and applies the faults that precede its effect. It reports whether the call
+// may proceed; if not, the error response is written.
+func (p *Platform) applyFaults(w http.ResponseWriter, kind string) bool {
 	p.mu.Lock()
 	f := p.faults
 	p.counts[kind]++
@@ -171,11 +172,11 @@
 	return true
 }
 
-// loseReply reports whether this write's reply is to be lost, by the count that
-// left picks, and drops the connection if so.
-func (p *Platform) loseReply(w http.ResponseWriter, left func(f *platformFaults) *int) bool {
+// loseReply drops the connection instead of replying if the counter that remaining selects is above zero,
+// and decrements that counter. It reports whether the reply was dropped.
+func (p *Platform) loseReply(w http.ResponseWriter, remaining func(f *platformFaults) *int) bool {
 	p.mu.Lock()
-	n := left(&p.faults)
+	n := remaining(&p.faults)
 	lose := *n > 0
 	if lose {
 		*n--
@@ -193,7 +194,7 @@
 }
 
 func (p *Platform) s3(w http.ResponseWriter, r *http.Request) {
-	if !p.admit(w, "s3_"+strings.ToLower(r.Method)) {
+	if !p.applyFaults(w, "s3_"+strings.ToLower(r.Method)) {
 		return
 	}
 	switch r.Method {
--- a/internal/standin/port.go
+++ b/internal/standin/port.go
@@ -9,52 +9,53 @@
 	"sync/atomic"
 )
 
-// Ports for processes come from below the range that the kernel gives to
-// outgoing connections: a port that was free a moment ago stays free. Each test
-// process has a range of its own, which it holds by listening on the range's
-// guard port: a process of another test that took the port of one that was just
-// killed would be taken for its successor.
+// Test processes listen on ports below the range that the kernel assigns to outgoing connections, so that
+// a port found free is not taken by an outgoing connection later. Each process that runs tests claims a
+// range of its own and holds it by listening on the lock port of that range. Otherwise a server of
+// another test could listen on the port of a server that was just killed, and clients would take it for
+// the restarted server.
 const (
-	guardPort  = 14_900
-	firstPort  = 15_000
-	portRanges = 30
-	portCount  = 500
+	firstLockPort = 14_900
+	firstPort     = 15_000
+	portRanges    = 30
+	portCount     = 500
 )
 
-// portRange is the range of this test process.
+// portRange is a range of ports that one process has claimed.
 type portRange struct {
 	first int64
-	// guard is listened on until the process ends.
-	guard net.Listener
+	// lock listens on the lock port of the range until the process ends.
+	lock net.Listener
 }
 
 var (
-	nextPort atomic.Int64
-	ownPorts = sync.OnceValues(takePortRange)
+	nextPort     atomic.Int64
+	processPorts = sync.OnceValues(claimPortRange)
 )
 
-// takePortRange takes a range that no other test process holds.
-func takePortRange() (portRange, error) {
+// claimPortRange claims the first range that no other process holds, starting at one that depends on the
+// process ID.
+func claimPortRange() (portRange, error) {
 	for i := range portRanges {
 		k := (os.Getpid() + i) % portRanges
-		if l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", guardPort+k)); err == nil {
-			return portRange{first: firstPort + int64(k)*portCount, guard: l}, nil
+		if l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstLockPort+k)); err == nil {
+			return portRange{first: firstPort + int64(k)*portCount, lock: l}, nil
 		}
 	}
 	return portRange{}, errNoPort
 }
 
-var errNoPort = errors.New("no free port")
+var errNoPort = errors.New("no free port in the ranges for tests")
 
-// FreePort returns a free address of loopback, for TCP and UDP, at which a process
-// of a test can listen and which stays its own when that process is restarted.
+// FreePort returns a loopback address that is free for TCP and UDP. Other test processes do not use
+// it, so a server that listens on it can be restarted.
 func FreePort() (string, error) {
-	own, err := ownPorts()
+	ports, err := processPorts()
 	if err != nil {
 		return "", err
 	}
 	for range portCount {
-		addr := fmt.Sprintf("127.0.0.1:%d", own.first+nextPort.Add(1)%portCount)
+		addr := fmt.Sprintf("127.0.0.1:%d", ports.first+nextPort.Add(1)%portCount)
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -10,38 +10,38 @@
 	"github.com/gorilla/mux"
 )
 
-// Relay passes TCP connections on, until it is told to cut: then bytes stop on
-// open connections, as on a link that drops all packets, and new ones hang. It can
-// also cut the way back alone, or delay what it passes on.
+// Relay is a TCP proxy that simulates network faults. While it is cut, open connections stay open but
+// carry no bytes, as on a link that drops all packets, and new connections hang. It can also cut only the
+// direction from target to client, or delay the bytes of each read.
 type Relay struct {
 	listener net.Listener
-	to       string
-
-	mu      sync.Mutex
-	cond    *sync.Cond
-	cut     bool
-	cutBack bool
-	delay   time.Duration
-	ended   bool
-	conns   map[net.Conn]struct{}
+	target   string
+
+	mu         sync.Mutex
+	cond       *sync.Cond
+	cut        bool
+	cutReplies bool
+	delay      time.Duration
+	closed     bool
+	conns      map[net.Conn]struct{}
 }
 
-// NewRelay listens on one address and passes on to another.
+// NewRelay listens on one address and forwards connections to another.
 func NewRelay(listen, to string) (*Relay, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, to: to, conns: map[net.Conn]struct{}{}}
+	r := &Relay{listener: l, target: to, conns: map[net.Conn]struct{}{}}
 	r.cond = sync.NewCond(&r.mu)
 	go r.accept()
 	return r, nil
 }
 
-// Addr returns the address the relay listens on.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Handler serves the control page: PUT /cut, /heal and /reset.
+// Handler serves the control API: PUT /cut, /heal and /reset.
 func (r *Relay) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/cut", func(http.ResponseWriter, *http.Request) { r.Cut(true) }).Methods(http.MethodPut)
@@ -50,7 +50,7 @@
 	return m
 }
 
-// Cut stops or restarts the passing of bytes.
+// Cut stops forwarding in both directions, or resumes it.
 func (r *Relay) Cut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,22 +58,22 @@
 	r.cond.Broadcast()
 }
 
-// CutBack stops or restarts the passing of bytes to those who connected.
+// CutBack stops forwarding from the target to clients, or resumes it.
 func (r *Relay) CutBack(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cutBack = cut
+	r.cutReplies = cut
 	r.cond.Broadcast()
 }
 
-// Delay sets how long each piece of bytes is held before it is passed on.
+// Delay sets the time by which the bytes of each read are delayed before they are forwarded.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Reset closes all open connections.
+// Reset closes all open connections and keeps listening.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,11 +82,11 @@
 	}
 }
 
-// Close ends the relay.
+// Close stops listening and closes all connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
-	r.ended = true
+	r.closed = true
 	r.cond.Broadcast()
 	r.mu.Unlock()
 	r.Reset()
@@ -98,22 +98,23 @@
 		if err != nil {
 			return
 		}
-		go r.pass(c)
+		go r.forward(c)
 	}
 }
 
-// open waits while the relay is cut, or while its way back is.
-func (r *Relay) open(back bool) bool {
+// waitUntilOpen sleeps for the delay and then blocks while the direction is cut. It returns false if the
+// relay is closed.
+func (r *Relay) waitUntilOpen(reply bool) bool {
 	r.mu.Lock()
 	delay := r.delay
 	r.mu.Unlock()
 	time.Sleep(delay)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for (r.cut || back && r.cutBack) && !r.ended {
+	for (r.cut || reply && r.cutReplies) && !r.closed {
 		r.cond.Wait()
 	}
-	return !r.ended
+	return !r.closed
 }
 
 func (r *Relay) track(c net.Conn) {
@@ -129,32 +130,32 @@
 	delete(r.conns, c)
 }
 
-func (r *Relay) pass(in net.Conn) {
-	r.track(in)
-	defer r.untrack(in)
-	if !r.open(false) {
+func (r *Relay) forward(client net.Conn) {
+	r.track(client)
+	defer r.untrack(client)
+	if !r.waitUntilOpen(false) {
 		return
 	}
-	out, err := net.Dial("tcp", r.to)
+	server, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
-	r.track(out)
-	defer r.untrack(out)
+	r.track(server)
+	defer r.untrack(server)
 	done := make(chan struct{}, 2)
-	go r.copy(out, in, false, done)
-	go r.copy(in, out, true, done)
+	go r.copyBytes(server, client, false, done)
+	go r.copyBytes(client, server, true, done)
 	<-done
 }
 
-const relayBuffer = 32 << 10
+const relayBufferBytes = 32 << 10
 
-func (r *Relay) copy(to io.Writer, from io.Reader, back bool, done chan<- struct{}) {
+func (r *Relay) copyBytes(to io.Writer, from io.Reader, reply bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferBytes)
 	for {
 		n, err := from.Read(buf)
-		if !r.open(back) {
+		if !r.waitUntilOpen(reply) {
 			return
 		}
 		if n > 0 {
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -11,29 +11,29 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// Rows stands in for the users' store: tables with one version counter that can be followed, and
-// that come back from an older copy.
+// Rows is an in-memory store of records. All tables share one version counter, readers can follow the
+// changes of a table, and the store can be restored from an older copy.
 type Rows struct {
 	mu      sync.Mutex
-	rows    map[string]platform.Record
+	records map[string]platform.Record
 	version int64
 	epoch   int64
 	changed chan struct{}
-	began   time.Time
+	started time.Time
 }
 
-// RowsCopy is what a Rows held at a moment.
+// RowsCopy is a backup of a Rows.
 type RowsCopy struct {
-	rows    map[string]platform.Record
+	records map[string]platform.Record
 	version int64
 }
 
 // NewRows returns an empty store in its first epoch.
 func NewRows() *Rows {
-	return &Rows{rows: map[string]platform.Record{}, epoch: 1, changed: make(chan struct{}), began: time.Now()}
+	return &Rows{records: map[string]platform.Record{}, epoch: 1, changed: make(chan struct{}), started: time.Now()}
 }
 
-// Platform returns the store behind the product's seam.
+// Platform returns the store behind the interface that the product uses.
 func (r *Rows) Platform() *platform.Store {
 	return &platform.Store{
 		List: r.list, Changes: r.changes,
@@ -48,12 +48,12 @@
 	}
 }
 
-// Put writes a row and returns the version that it got.
+// Put writes a record and returns its version.
 func (r *Rows) Put(table, name, value string) int64 {
 	return r.write(table, platform.Record{Name: name, Value: []byte(value)})
 }
 
-// Remove takes rows away and returns the version of that.
+// Remove writes a tombstone for each record, all with the same version, and returns that version.
 func (r *Rows) Remove(table string, names ...string) int64 {
 	list := make([]platform.Record, 0, len(names))
 	for _, n := range names {
@@ -66,37 +66,38 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
-	for _, row := range list {
-		row.Version = r.version
-		r.rows[table+"/"+row.Name] = row
+	for _, record := range list {
+		record.Version = r.version
+		r.records[table+"/"+record.Name] = record
 	}
-	r.tell()
+	r.notifyWaiters()
 	return r.version
 }
 
-// tell ends the calls that wait for a change. It needs the lock.
-func (r *Rows) tell() {
+// notifyWaiters wakes the calls that wait for a change. The caller holds r.mu.
+func (r *Rows) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Copy copies all that is there.
+// Copy returns a backup of all tables.
 func (r *Rows) Copy() RowsCopy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RowsCopy{rows: maps.Clone(r.rows), version: r.version}
+	return RowsCopy{records: maps.Clone(r.records), version: r.version}
 }
 
-// ComeBack goes on from a copy, in the next epoch. Calls that wait end with the history gone.
+// ComeBack restores all tables from a backup and starts the next epoch. Calls that wait for a change fail
+// with platform.ErrHistoryGone.
 func (r *Rows) ComeBack(c RowsCopy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rows, r.version = maps.Clone(c.rows), c.version
+	r.records, r.version = maps.Clone(c.records), c.version
 	r.epoch++
-	r.tell()
+	r.notifyWaiters()
 }
 
-// Version returns the newest version.
+// Version returns the version of the newest change.
 func (r *Rows) Version() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,17 +108,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.snapshot(table, -1)
-	s.Records = slices.DeleteFunc(s.Records, func(row platform.Record) bool { return row.Gone })
+	s.Records = slices.DeleteFunc(s.Records, func(record platform.Record) bool { return record.Gone })
 	return s, nil
 }
 
-// snapshot returns the rows of a table after a version, in the order of their versions. It needs
-// the lock.
+// snapshot returns the records of a table that are newer than a version, ordered by version. The caller
+// holds r.mu.
 func (r *Rows) snapshot(table string, after int64) platform.Snapshot {
-	s := platform.Snapshot{Version: r.version, Epoch: r.epoch, Clock: time.Since(r.began)}
-	for key, row := range r.rows {
-		if name, ok := strings.CutPrefix(key, table+"/"); ok && name == row.Name && row.Version > after {
-			s.Records = append(s.Records, row)
+	s := platform.Snapshot{Version: r.version, Epoch: r.epoch, Clock: time.Since(r.started)}
+	for key, record := range r.records {
+		if name, ok := strings.CutPrefix(key, table+"/"); ok && name == record.Name && record.Version > after {
+			s.Records = append(s.Records, record)
 		}
 	}
 	slices.SortFunc(s.Records, func(a, b platform.Record) int { return int(a.Version - b.Version) })
@@ -130,20 +131,20 @@
 	r.mu.Lock()
 	epoch := r.epoch
 	r.mu.Unlock()
-	for over := false; ; {
+	for timedOut := false; ; {
 		r.mu.Lock()
-		s, changed, gone := r.snapshot(table, after), r.changed, after > r.version || r.epoch != epoch
+		s, changed, historyGone := r.snapshot(table, after), r.changed, after > r.version || r.epoch != epoch
 		r.mu.Unlock()
 		switch {
-		case gone:
+		case historyGone:
 			return platform.Snapshot{}, platform.ErrHistoryGone
-		case len(s.Records) > 0 || over:
+		case len(s.Records) > 0 || timedOut:
 			return s, nil
 		}
 		select {
 		case <-changed:
 		case <-end.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return platform.Snapshot{}, platform.ErrUnknownOutcome
 		}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,25 +10,26 @@
 	"github.com/gorilla/mux"
 )
 
-// Service is a stand-in for a plain service some of whose calls may not be
-// repeated. It counts how often each call identifier ran.
+// Service simulates a plain service that has calls which must not be executed twice. It counts the
+// executions of each request ID.
 type Service struct {
 	mu     sync.Mutex
 	runs   map[string]int
 	faults serviceFaults
 }
 
+// serviceFaults are the faults to inject, set by PUT /control/faults.
 type serviceFaults struct {
-	// DelayMS is how long a call takes.
+	// DelayMS is the duration of a call.
 	DelayMS int `json:"delay_ms"`
-	// LoseReplies is the number of calls that run and get no reply.
+	// LoseReplies is the number of calls that are executed but get no reply.
 	LoseReplies int `json:"lose_replies"`
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service that has executed no calls.
 func NewService() *Service { return &Service{runs: map[string]int{}} }
 
-// Handler serves the service.
+// Handler serves the service and its control endpoints. All other paths are calls.
 func (s *Service) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/control/runs", s.getRuns).Methods(http.MethodGet)
@@ -60,7 +61,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	delay, lose := s.run(r.Header.Get("X-Request-Id"))
+	delay, lose := s.recordRun(r.Header.Get("X-Request-Id"))
 	time.Sleep(delay)
 	if lose {
 		panic(http.ErrAbortHandler)
@@ -68,7 +69,8 @@
 	writeJSON(w, map[string]any{"path": r.URL.Path, "method": r.Method, "body": string(body)})
 }
 
-func (s *Service) run(id string) (time.Duration, bool) {
+// recordRun counts an execution. It returns the duration of the call and whether its reply is lost.
+func (s *Service) recordRun(id string) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[id]++
