--- a/internal/rollout/chunks.go
+++ b/internal/rollout/chunks.go
@@ -70,7 +70,7 @@
 }
 
 // errMissingChunks is wrapped by join when no source has a chunk.
-var errMissingChunks = errors.New("missing chunks")
+var errMissingChunks = errors.New("chunk not at hand")
 
 // join assembles content from the chunks in the given sources. missing lists the hashes that no source has.
 func join(hashes []string, sources ...chunkSet) (content []byte, missing []string, err error) {
--- a/internal/rollout/coordinator.go
+++ b/internal/rollout/coordinator.go
@@ -450,7 +450,7 @@
 	if !h.Accepted {
 		accepted, err := c.recordAccepted(ctx, h)
 		if err != nil {
-			return Outcome{state: Committed, version: h.Version, reasons: []string{fmt.Sprintf("in force everywhere, but not yet recorded in the table: %v", err)}}
+			return Outcome{state: Committed, version: h.Version, reasons: []string{fmt.Sprintf("in force everywhere, but the table does not know yet: %v", err)}}
 		}
 		c.activateEverywhere(ctx, accepted)
 	}
@@ -499,7 +499,7 @@
 
 // errOtherChange is wrapped when the table has the version of a change for another change, which happens after
 // the table was restored from an older copy.
-var errOtherChange = errors.New("the version belongs to another change")
+var errOtherChange = errors.New("the version is of another change")
 
 // recordAccepted marks the head in the table as in force everywhere. The home upstreams of this version are
 // valid from this time on.
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -202,7 +202,7 @@
 }
 
 // errHashMismatch is wrapped when the content received for a version does not have the hash in its head.
-var errHashMismatch = errors.New("content does not match its hash")
+var errHashMismatch = errors.New("content of the configuration not at hand")
 
 func (s *Store) handleActivate(ctx context.Context, c *peer.Conn, raw json.RawMessage) (any, error) {
 	var p activateParams
