--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -71,7 +71,7 @@
 	quarantine *quarantine.Set
 	// retrySchedule spreads the retries of callers that were refused while no upstream of their pool took
 	// requests.
-	retrySchedule placement.Returns
+	retrySchedule placement.RetrySchedule
 
 	draining      atomic.Bool
 	joined        atomic.Bool
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -46,7 +46,7 @@
 
 // generationOf returns the demand of a request on an engine at the given time.
 func (g *Gateway) generationOf(rq *request, now time.Time) *placement.Generation {
-	gen := &placement.Generation{Engine: rq.service.Engine, Prompt: rq.call.Prompt, Output: expectedOutput(&rq.call), Repeats: rq.route.Repeats()}
+	gen := &placement.Generation{Engine: rq.service.Engine, Prompt: rq.call.Prompt, Output: expectedOutput(&rq.call), Repeatable: rq.route.Repeats()}
 	if rq.route.Objective > 0 {
 		gen.StartBy = rq.start.Add(time.Duration(startShare * float64(rq.route.Objective))).Sub(now)
 	}
@@ -100,7 +100,7 @@
 	view := g.view(true)
 	candidates := g.candidates(list, exclude, view.Now)
 	for i := range candidates {
-		candidates[i].Kept = g.prefixes.cachedTokens(candidates[i].ID, s.rq.call.Shared, view.Now)
+		candidates[i].CachedTokens = g.prefixes.cachedTokens(candidates[i].ID, s.rq.call.Shared, view.Now)
 	}
 	usable := g.moveRoom.Usable(s.rq.service.Engine, g.fleet.LeavingShare(s.rq.service.Name), view.Now)
 	return view.Admit(candidates, g.generationOf(s.rq, view.Now), usable)
@@ -109,7 +109,7 @@
 // chooseEngine returns the best engine for the rest of a generation, even if all are overloaded.
 func (g *Gateway) chooseEngine(s *stream, exclude map[string]bool) (fleet.Upstream, bool) {
 	view := g.view(true)
-	return view.Anyhow(g.candidates(g.fleet.Of(s.rq.service.Name), exclude, view.Now), g.generationOf(s.rq, view.Now))
+	return view.Cheapest(g.candidates(g.fleet.Of(s.rq.service.Name), exclude, view.Now), g.generationOf(s.rq, view.Now))
 }
 
 // chooseTarget returns the engine that a generation moves to. An engine that stated a rate limit
@@ -135,7 +135,7 @@
 	for i := range candidates {
 		candidates[i].Failing = failing[candidates[i].ID]
 	}
-	return view.Plain(candidates)
+	return view.ChoosePlain(candidates)
 }
 
 // retryDelayAfterOverload returns the retry delay for a caller that was refused because no engine
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -89,7 +89,7 @@
 	if got.status != http.StatusServiceUnavailable || e.runs() != 0 || time.Since(start) > 50*time.Millisecond {
 		t.Errorf("status %d, %d sends after %s; want 503 at once and no sends", got.status, e.runs(), time.Since(start))
 	}
-	least, most := int64((1-placement.BackSpread)*float64(placement.BackLeast.Milliseconds())), int64((1+placement.BackSpread)*float64(placement.BackLeast.Milliseconds()))
+	least, most := int64((1-placement.RetryAfterJitter)*float64(placement.MinRetryAfter.Milliseconds())), int64((1+placement.RetryAfterJitter)*float64(placement.MinRetryAfter.Milliseconds()))
 	if ms, err := strconv.ParseInt(got.header.Get(testRetryMs), 10, 64); err != nil || ms < least-1 || ms > most {
 		t.Errorf("retry time of %q ms", got.header.Get(testRetryMs))
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -72,7 +72,7 @@
 	lastRequestAt atomicTime
 	eventInterval eventInterval
 	readTime      readTime
-	moveRoom      placement.MoveRoom
+	moveRoom      placement.MoveReserve
 	prefixes      *prefixes
 	trusted       atomic.Bool
 	// quarantine tracks the requests that crash upstreams.
@@ -94,7 +94,7 @@
 	overloads map[string]*placement.Overload
 	// retryTimes staggers the retries of callers that were refused while all upstreams of their
 	// service were in back-off.
-	retryTimes placement.Returns
+	retryTimes placement.RetrySchedule
 	// queriedAt holds the time at which each engine was last queried for its state.
 	queriedAt map[string]time.Time
 	// probing holds the upstreams that are being probed for a crash.
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -151,7 +151,7 @@
 			return
 		}
 	}
-	g.moveRoom.Note(false, g.now())
+	g.moveRoom.Record(false, g.now())
 	g.moveFailed(s, from, "no engine had room")
 }
 
@@ -166,7 +166,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held, engine := s.heldTokens(), s.rq.service.Engine
-	return &placement.Generation{Engine: engine, Prompt: held, Output: max(s.expectedTokens()-held, engine.EventTokens), Repeats: true}
+	return &placement.Generation{Engine: engine, Prompt: held, Output: max(s.expectedTokens()-held, engine.EventTokens), Repeatable: true}
 }
 
 // moveTo moves a generation to one engine. It returns true if another target should be
@@ -185,7 +185,7 @@
 			g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "to", target.ID, "why", "the target started again")
 			return true
 		}
-		g.moveRoom.Note(true, g.now())
+		g.moveRoom.Record(true, g.now())
 	case protocol.NoRoom:
 		g.fleet.Note(target.ID, fleet.Busy)
 		return true
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -169,7 +169,7 @@
 		ms, err := strconv.Atoi(got.header.Get(testRetryMs))
 		back := begun.Add(time.Duration(ms) * time.Millisecond)
 		// The header states whole milliseconds, rounded down.
-		if least, most := first.Add(1500*time.Millisecond), asked.Add(1600*time.Millisecond+placement.ReturnWithin); err != nil || back.Before(least.Add(-100*time.Millisecond)) || back.After(most) {
+		if least, most := first.Add(1500*time.Millisecond), asked.Add(1600*time.Millisecond+placement.RetryWindow); err != nil || back.Before(least.Add(-100*time.Millisecond)) || back.After(most) {
 			t.Fatalf("retry is due %s after the first back-off, want it spread from its end on", back.Sub(least))
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -12,18 +12,18 @@
 // are. usable is the memory of each engine, in tokens, that may be filled with generations that
 // have to move if the engine leaves.
 func (v *View) Admit(list []Candidate, g *Generation, usable float64) (fleet.Upstream, error) {
-	anyHealthy := slices.ContainsFunc(list, func(c Candidate) bool { return v.healthy(&c, g.Repeats) })
+	anyHealthy := slices.ContainsFunc(list, func(c Candidate) bool { return v.healthy(&c, g.Repeatable) })
 	reason := ErrNone
 	costPerRequest := float64(g.totalTokens()) + prefillWeight*float64(g.Prompt)
 	u, ok := v.spread(list, costPerRequest, func(c *Candidate) (float64, bool) {
-		if anyHealthy && !v.healthy(c, g.Repeats) {
+		if anyHealthy && !v.healthy(c, g.Repeatable) {
 			return 0, false
 		}
-		if err := Room(c.Load, g, c.Kept, usable, v.ReadToken); err != nil {
+		if err := Room(c.Load, g, c.CachedTokens, usable, v.ReadToken); err != nil {
 			reason = err
 			return 0, false
 		}
-		return v.engineCost(c, g) - prefillWeight*float64(c.Kept), true
+		return v.engineCost(c, g) - prefillWeight*float64(c.CachedTokens), true
 	})
 	if !ok {
 		return fleet.Upstream{}, reason
@@ -38,20 +38,20 @@
 	return !v.Now.Before(c.AvoidUntil()) && (repeats || !c.Suspect(v.Now))
 }
 
-// Plain chooses the upstream for a request to a plain service; ok is false if there is none.
-func (v *View) Plain(list []Candidate) (u fleet.Upstream, ok bool) {
+// ChoosePlain chooses the upstream for a request to a plain service; ok is false if there is none.
+func (v *View) ChoosePlain(list []Candidate) (u fleet.Upstream, ok bool) {
 	return v.spread(list, requestCost, func(c *Candidate) (float64, bool) { return v.plainCost(c), true })
 }
 
-// Anyhow chooses the cheapest engine for the rest of an answer that a caller is waiting for,
+// Cheapest chooses the cheapest engine for the rest of an answer that a caller is waiting for,
 // whether or not it has room: a crowded engine is better than none. ok is false if there is no
 // engine at all.
-func (v *View) Anyhow(list []Candidate, g *Generation) (u fleet.Upstream, ok bool) {
+func (v *View) Cheapest(list []Candidate, g *Generation) (u fleet.Upstream, ok bool) {
 	lowest := math.Inf(1)
 	for i := range list {
 		c := &list[i]
 		cost := v.engineCost(c, g)
-		if !g.Repeats && c.Suspect(v.Now) {
+		if !g.Repeatable && c.Suspect(v.Now) {
 			cost += avoidedCost
 		}
 		if cost < lowest {
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -17,15 +17,15 @@
 	// minRetryAfterShare is the part of the objective after which a caller is told to retry while
 	// nearly all generations are admitted: three quarters are left to prefill the prompt.
 	minRetryAfterShare = 0.25
-	// BackLeast is the shortest time after which a caller is told to retry: about the time in
+	// MinRetryAfter is the shortest time after which a caller is told to retry: about the time in
 	// which a few of some hundred streams end.
-	BackLeast = 250 * time.Millisecond
+	MinRetryAfter = 250 * time.Millisecond
 	// ageFactor, multiplied by the refused share of generations, is the part of the age of the
 	// overload that a caller is told to wait, up to the whole age.
 	ageFactor = 1.5
-	// BackSpread is the jitter of the times told, as a fraction in both directions, so that
+	// RetryAfterJitter is the jitter of the times told, as a fraction in both directions, so that
 	// callers refused together do not retry together.
-	BackSpread = 0.25
+	RetryAfterJitter = 0.25
 )
 
 // Overload tracks since when a service has been refusing generations, and how many of them.
@@ -54,7 +54,7 @@
 // can be expected to last as long again. So the more generations are refused, the larger the
 // part of the age of the overload that a caller waits. Callers make one or two attempts.
 func (o *Overload) Refused(objective time.Duration, now time.Time, random float64) time.Duration {
-	minRetryAfter := max(time.Duration(minRetryAfterShare*float64(objective)), BackLeast)
+	minRetryAfter := max(time.Duration(minRetryAfterShare*float64(objective)), MinRetryAfter)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.firstRefusal.IsZero() || now.Sub(o.lastRefusal) > overloadQuietTime {
@@ -64,5 +64,5 @@
 	o.refusals = o.refusals.Add(1, now, refusalDecayTime)
 	share := shareOf(o.admissions, o.refusals, now, refusalDecayTime)
 	retryAfter := max(time.Duration(min(ageFactor*share, 1)*float64(now.Sub(o.firstRefusal))), minRetryAfter)
-	return time.Duration(float64(retryAfter) * (1 - BackSpread + 2*BackSpread*random))
+	return time.Duration(float64(retryAfter) * (1 - RetryAfterJitter + 2*RetryAfterJitter*random))
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,8 +31,8 @@
 	Load gossip.Load
 	// Rate is the number of requests a second that other entries recently placed there.
 	Rate float64
-	// Kept is the part of the prompt that the engine has in its prefix cache, in tokens.
-	Kept int
+	// CachedTokens is the part of the prompt that the engine has in its prefix cache, in tokens.
+	CachedTokens int
 	// Trial marks an upstream that is running a suspect request: another upstream crashed while
 	// running it.
 	Trial bool
@@ -67,9 +67,9 @@
 	// Brief marks a generation that is expected to end within the notice that an engine gets
 	// before it leaves.
 	Brief bool
-	// Repeats marks a generation that may be sent again after a failure. Such generations probe
+	// Repeatable marks a generation that may be sent again after a failure. Such generations probe
 	// whether an engine that had a fault has recovered.
-	Repeats bool
+	Repeatable bool
 }
 
 // totalTokens returns the memory that the generation takes by its end, in tokens.
--- a/internal/placement/replay/pool.go
+++ b/internal/placement/replay/pool.go
@@ -65,14 +65,14 @@
 	slices.SortStableFunc(movable, func(a, b *generation) int { return cmp.Compare(b.generated, a.generated) })
 	for _, g := range movable {
 		held := g.prompt + g.generated
-		rest := &placement.Generation{Engine: s.engineSpec(), Prompt: held, Output: max(g.expected()-g.generated, tokensPerEvent), Repeats: true}
+		rest := &placement.Generation{Engine: s.engineSpec(), Prompt: held, Output: max(g.expected()-g.generated, tokensPerEvent), Repeatable: true}
 		u, ok := s.view().Target(s.candidates(e), rest, "")
 		if !ok {
 			continue
 		}
 		target := s.engine(u.ID)
 		room := target.model.Hold(held)
-		s.moveRoom.Note(room, s.start.Add(s.now))
+		s.moveRoom.Record(room, s.start.Add(s.now))
 		if !room {
 			continue
 		}
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -92,7 +92,7 @@
 	overload   placement.Overload
 	// firstRefusal and lastRefusal describe the current overload for LateRetryAfter.
 	firstRefusal, lastRefusal time.Duration
-	moveRoom                  placement.MoveRoom
+	moveRoom                  placement.MoveReserve
 	result                    Result
 	possibleWorth             float64
 	earnedWorth               float64
--- a/internal/placement/reserve_test.go
+++ b/internal/placement/reserve_test.go
@@ -31,11 +31,11 @@
 		{"waves a minute ago", 5, 5, time.Minute, 0, 0.01},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			m, now := &MoveRoom{}, time.Now()
+			m, now := &MoveReserve{}, time.Now()
 			for range tc.waves {
 				now = now.Add(wave)
 				for i := range 10 {
-					m.Note(i >= tc.failed, now)
+					m.Record(i >= tc.failed, now)
 				}
 			}
 			got := 1 - m.Usable(engine, share, now.Add(tc.later))/memory
@@ -49,12 +49,12 @@
 // TestReserveShrinksAfterSuccessfulMoves checks that the reserve falls once moves find room
 // again.
 func TestReserveShrinksAfterSuccessfulMoves(t *testing.T) {
-	m, now := &MoveRoom{}, time.Now()
-	m.Note(false, now)
+	m, now := &MoveReserve{}, time.Now()
+	m.Record(false, now)
 	engine := &routetable.Engine{MemoryTokens: 1000}
 	before := 1000 - m.Usable(engine, 0.2, now)
 	for range 9 {
-		m.Note(true, now)
+		m.Record(true, now)
 	}
 	if after := 1000 - m.Usable(engine, 0.2, now); after > before/5 {
 		t.Errorf("reserve %v after nine moves with room, %v before", after, before)
@@ -78,7 +78,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := &routetable.Engine{MemoryTokens: 34000, CopyRate: tc.copyRate}
-			if got := (&MoveRoom{}).Usable(e, tc.leavingShare, time.Now()); math.Abs(got-tc.want) > 1e-6 {
+			if got := (&MoveReserve{}).Usable(e, tc.leavingShare, time.Now()); math.Abs(got-tc.want) > 1e-6 {
 				t.Errorf("%v tokens, want %v", got, tc.want)
 			}
 		})
--- a/internal/placement/returns.go
+++ b/internal/placement/returns.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// ReturnEach is the time between the retries of two callers once upstreams take requests
+	// RetryInterval is the time between the retries of two callers once upstreams take requests
 	// again.
-	ReturnEach = 10 * time.Millisecond
-	// ReturnWithin is the time, from then on, within which callers retry.
-	ReturnWithin = time.Second
+	RetryInterval = 10 * time.Millisecond
+	// RetryWindow is the time, from then on, within which callers retry.
+	RetryWindow = time.Second
 )
 
-// Returns schedules the retries of callers that were refused while no upstream of their service
+// RetrySchedule schedules the retries of callers that were refused while no upstream of their service
 // took requests, so that they do not all retry at the same moment. The zero value is ready to
 // use.
-type Returns struct {
+type RetrySchedule struct {
 	mu sync.Mutex
 	// next is the time, by service, at which the next caller should retry.
 	next map[string]time.Time
@@ -25,21 +25,21 @@
 
 // At returns when a refused caller of a service should retry. opensAt is the time from which on
 // the upstreams take requests again. Callers retry one after another, in the order in which
-// they were refused. Those that would retry later than ReturnWithin get a random time within
+// they were refused. Those that would retry later than RetryWindow get a random time within
 // it.
-func (r *Returns) At(service string, opensAt time.Time) time.Time {
+func (r *RetrySchedule) At(service string, opensAt time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.next[service]
 	if at.Before(opensAt) {
 		at = opensAt
 	}
-	if at.Sub(opensAt) > ReturnWithin {
-		return opensAt.Add(time.Duration(rand.Int64N(int64(ReturnWithin))))
+	if at.Sub(opensAt) > RetryWindow {
+		return opensAt.Add(time.Duration(rand.Int64N(int64(RetryWindow))))
 	}
 	if r.next == nil {
 		r.next = map[string]time.Time{}
 	}
-	r.next[service] = at.Add(ReturnEach)
+	r.next[service] = at.Add(RetryInterval)
 	return at
 }
--- a/internal/placement/returns_test.go
+++ b/internal/placement/returns_test.go
@@ -7,22 +7,22 @@
 
 // TestCallersRetryInOrderAfterBackoff checks that callers refused while all upstreams are in
 // back-off are told to retry one after another, in the order of their refusals, and within
-// ReturnWithin of its end. Callers that all retried at its end would overload the upstreams
+// RetryWindow of its end. Callers that all retried at its end would overload the upstreams
 // again.
 func TestCallersRetryInOrderAfterBackoff(t *testing.T) {
-	var r Returns
+	var r RetrySchedule
 	opensAt := time.Now().Add(time.Second)
 	last := opensAt
 	for i := range 100 {
 		at := r.At("app", opensAt)
-		if at.Before(last) || i > 0 && at.Sub(last) != ReturnEach {
-			t.Fatalf("caller %d retries %s after the previous one, want %s", i, at.Sub(last), ReturnEach)
+		if at.Before(last) || i > 0 && at.Sub(last) != RetryInterval {
+			t.Fatalf("caller %d retries %s after the previous one, want %s", i, at.Sub(last), RetryInterval)
 		}
 		last = at
 	}
 	for range 1000 {
-		if at := r.At("app", opensAt); at.Before(opensAt) || at.Sub(opensAt) > ReturnWithin {
-			t.Fatalf("a caller retries %s after the back-off, want within %s", at.Sub(opensAt), ReturnWithin)
+		if at := r.At("app", opensAt); at.Before(opensAt) || at.Sub(opensAt) > RetryWindow {
+			t.Fatalf("a caller retries %s after the back-off, want within %s", at.Sub(opensAt), RetryWindow)
 		}
 	}
 	if at := r.At("app", opensAt.Add(time.Minute)); !at.Equal(opensAt.Add(time.Minute)) {
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -28,7 +28,7 @@
 	if i, ok := drawIndex(weights, v.Random()); ok {
 		return list[i].Upstream, true
 	}
-	return v.Anyhow(list, g)
+	return v.Cheapest(list, g)
 }
 
 // targetWeight returns the weight by which an engine is drawn as the target of a move. It is 0
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -298,7 +298,7 @@
 mutant rest-at-once $gateway/permit.go 's/if err != nil && g\.allInBackOff\(service, exclude\)/if false/' internal/gateway TestAllUpstreamsInBackOff
 mutant rest-latest internal/fleet/backoff.go 's/m\.backOffUntil = later\(m\.backOffUntil, (.*)\)\n/m.backOffUntil = $1\n/' internal/fleet TestLatestBackOffApplies
 mutant rest-one internal/fleet/backoff.go 's/m\.InBackOff\(s\.now\(\)\) && m\.backOffProbed/false/' internal/fleet TestOneProbePerBackOff
-mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(ReturnEach\)\n//' internal/placement TestCallersRetryInOrder
+mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(RetryInterval\)\n//' internal/placement TestCallersRetryInOrder
 mutant leaving-peer internal/fleet/set.go 's/s\.markLeaving\(id, entry, true\)/s.markLeaving(id, entry, false)/' internal/fleet TestSelfReportedLeaveIsFinal
 mutant leaving-lapsed internal/fleet/set.go 's/if m\.state == Lapsed \{\n\t\t\/\/ The row/if false {\n\t\t\/\/ The row/; s/\tm\.expiresAt = time\.Time\{\}\n\ts\.release/\ts.release/' internal/fleet TestSelfReportedLeaveIsFinal
 mutant leaving-told internal/fleet/set.go 's/if recent \|\| !m\.Leaving && unrecorded <= maxUnrecorded/if recent/' internal/fleet TestUnrecordedLeaveStays
