--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -189,7 +189,7 @@
 	if r.mayHaveRun() && (!c.rq.route.Repeats() || c.rq.attempts >= c.rq.route.MaxAttempts || !c.rq.run.MayRepeat()) {
 		return false
 	}
-	if len(c.tried) >= maxSends || !c.g.budget(c.rq.service.Name).Repeat(0) {
+	if len(c.tried) >= maxSends || !c.g.budget(c.rq.service.Name).TakeExtra(0) {
 		return false
 	}
 	return c.launch(ctx, "retry")
@@ -200,7 +200,7 @@
 	if !c.rq.route.Repeats() || c.rq.attempts >= c.rq.route.MaxAttempts || c.running == 0 || c.rq.run.Suspected() {
 		return
 	}
-	if !c.g.budget(c.rq.service.Name).Repeat(hedgeReserve) {
+	if !c.g.budget(c.rq.service.Name).TakeExtra(hedgeReserve) {
 		return
 	}
 	if c.launch(ctx, "hedge") {
--- a/internal/gateway/continue.go
+++ b/internal/gateway/continue.go
@@ -16,7 +16,7 @@
 		// The copy command that stopped the generation may provide another copy.
 		return s.nextAfterBreak(ctx, exclude)
 	}
-	if ctx.Err() != nil || s.rq.attempts >= maxSends || !s.rq.run.MaySend() || !s.g.budget(s.rq.service.Name).Repeat(0) {
+	if ctx.Err() != nil || s.rq.attempts >= maxSends || !s.rq.run.MaySend() || !s.g.budget(s.rq.service.Name).TakeExtra(0) {
 		return step{}, false
 	}
 	at, err := s.admit(ctx, exclude)
@@ -54,7 +54,7 @@
 		}
 		return step{at: held.at, from: &held.copy, why: "copy"}, true
 	}
-	if !s.rq.route.Repeats() || s.rq.attempts >= s.rq.route.MaxAttempts || !s.rq.run.MayRepeat() || !budget.Repeat(0) {
+	if !s.rq.route.Repeats() || s.rq.attempts >= s.rq.route.MaxAttempts || !s.rq.run.MayRepeat() || !budget.TakeExtra(0) {
 		return step{}, false
 	}
 	// The caller is waiting for the rest of an answer, so a crowded engine is better than none.
@@ -76,9 +76,9 @@
 
 // awaitRetryBudget takes an attempt from the retry budget, waiting up to resumeWait until there is
 // one.
-func (s *stream) awaitRetryBudget(ctx context.Context, budget *routing.Window) bool {
+func (s *stream) awaitRetryBudget(ctx context.Context, budget *routing.SharedBudget) bool {
 	deadline := s.g.now().Add(resumeWait)
-	for !budget.Repeat(0) {
+	for !budget.TakeExtra(0) {
 		if ctx.Err() != nil || s.g.now().After(deadline) {
 			return false
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,7 +87,7 @@
 	mu sync.Mutex
 	// entries is the number of entries that share the retry budgets.
 	entries int
-	budgets map[string]*routing.Window
+	budgets map[string]*routing.SharedBudget
 	streams map[string]map[*stream]bool
 	moving  map[string]bool
 	// overloads holds the overload state of each service.
@@ -124,7 +124,7 @@
 	g := &Gateway{
 		settings: settings, routes: routes, fleet: set, link: pool, proto: proto, rec: rec,
 		met: newMetrics(reg, func() float64 { return routesAge(routes, now).Seconds() }), now: now, loads: newLoadTracker(now), prefixes: newPrefixes(), entries: 1,
-		budgets: map[string]*routing.Window{}, streams: map[string]map[*stream]bool{}, moving: map[string]bool{}, overloads: map[string]*placement.Overload{},
+		budgets: map[string]*routing.SharedBudget{}, streams: map[string]map[*stream]bool{}, moving: map[string]bool{}, overloads: map[string]*placement.Overload{},
 		queriedAt: map[string]time.Time{}, probing: map[string]bool{}, peers: others,
 		quarantine: quarantine.New(rec, now, others.Urge), limits: limits.New(settings.Name, settings.Life, others.Limits, rec, now), startedAt: now(),
 	}
@@ -234,7 +234,7 @@
 		g.limits.Listed(reachable)
 	}
 	for _, b := range g.budgets {
-		b.Messages(deliveryTime, silenceLimit)
+		b.SetMessageTimes(deliveryTime, silenceLimit)
 	}
 }
 
@@ -242,7 +242,7 @@
 func (g *Gateway) setEntries(entries int) {
 	g.entries = entries
 	for _, b := range g.budgets {
-		b.Entries(entries)
+		b.SetEntries(entries)
 	}
 }
 
@@ -261,19 +261,19 @@
 // received a message from this one.
 func (g *Gateway) PeerRetryUse(name string, uses map[string]routing.Use, lastHeardUs time.Time) {
 	for service, u := range uses {
-		g.budget(service).HeardBy(name, u, lastHeardUs)
+		g.budget(service).RecordPeerReport(name, u, lastHeardUs)
 	}
 }
 
 // budget returns the retry budget of a service.
-func (g *Gateway) budget(service string) *routing.Window {
+func (g *Gateway) budget(service string) *routing.SharedBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b, ok := g.budgets[service]
 	if !ok {
-		b = routing.NewWindow(g.settings.RetryRatio, g.settings.RetryExtra, g.settings.RetryWindow, g.now)
-		b.Entries(g.entries)
-		b.Messages(g.peers.Told())
+		b = routing.NewSharedBudget(g.settings.RetryRatio, g.settings.RetryExtra, g.settings.RetryWindow, g.now)
+		b.SetEntries(g.entries)
+		b.SetMessageTimes(g.peers.Told())
 		g.budgets[service] = b
 	}
 	return b
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -139,12 +139,12 @@
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
 	fault := c.at.Add(-700 * time.Millisecond)
-	a.state = State{Faults: map[string]time.Time{"e": fault}, Retries: map[string]routing.Use{"llm": {Requests: 12, Repeats: 3}}}
+	a.state = State{Faults: map[string]time.Time{"e": fault}, Retries: map[string]routing.Use{"llm": {Requests: 12, Extra: 3}}}
 	deliver(t, a, b)
 	if got := b.received.Faults["e"]; got.Sub(fault).Abs() > time.Millisecond {
 		t.Errorf("fault of %s, want %s ago", c.at.Sub(got), c.at.Sub(fault))
 	}
-	if got := b.received.Retries["llm"]; got != (routing.Use{Requests: 12, Repeats: 3}) {
+	if got := b.received.Retries["llm"]; got != (routing.Use{Requests: 12, Extra: 3}) {
 		t.Errorf("retries %+v, want 12 requests and 3 repeats", got)
 	}
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -97,7 +97,7 @@
 // wireLoad holds the fields of a Load: Running, Tokens, Prefill and Held.
 type wireLoad [4]int
 
-// wireUse holds the fields of a routing.Use: Requests and Repeats.
+// wireUse holds the fields of a routing.Use: Requests and Extra.
 type wireUse [2]int
 
 // message is a decoded datagram with a state.
@@ -139,7 +139,7 @@
 		b.FaultAgesMS[id] = now.Sub(at).Milliseconds()
 	}
 	for service, u := range s.Retries {
-		b.Retries[service] = wireUse{u.Requests, u.Repeats}
+		b.Retries[service] = wireUse{u.Requests, u.Extra}
 	}
 	return b
 }
@@ -209,7 +209,7 @@
 		s.Faults[id] = now.Add(-time.Duration(age) * time.Millisecond)
 	}
 	for service, u := range b.Retries {
-		s.Retries[service] = routing.Use{Requests: u[0], Repeats: u[1]}
+		s.Retries[service] = routing.Use{Requests: u[0], Extra: u[1]}
 	}
 	return s
 }
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -17,7 +17,7 @@
 func busyState(now time.Time) State {
 	s := State{
 		Zone: "zone-a", Relay: "10.1.0.49:7200", Routes: 41, Confirmed: now.Add(-time.Second), Loads: map[string]Load{},
-		Retries: map[string]routing.Use{"models": {Requests: 120, Repeats: 4}, "plain": {Requests: 200, Repeats: 9}},
+		Retries: map[string]routing.Use{"models": {Requests: 120, Extra: 4}, "plain": {Requests: 200, Extra: 9}},
 	}
 	for i := range 10 {
 		s.Loads[fmt.Sprintf("i-7f3a91c2e%d", i)] = Load{Running: 1, Tokens: 3500 + i, Prefill: 3000, Held: 3100}
--- a/internal/routing/onewaywindow_test.go
+++ b/internal/routing/onewaywindow_test.go
@@ -23,24 +23,24 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := time.Now()
-			var windows []*Window
+			var windows []*SharedBudget
 			for range entries {
-				w := NewWindow(0, extra, 100*time.Second, func() time.Time { return at })
-				w.Entries(entries)
+				w := NewSharedBudget(0, extra, 100*time.Second, func() time.Time { return at })
+				w.SetEntries(entries)
 				windows = append(windows, w)
 			}
 			received, total := at.Add(-tc.last), 0
 			for range 80 {
 				for j, other := range windows[1:] {
-					windows[0].HeardBy(string(rune('b'+j)), other.Use(), received)
+					windows[0].RecordPeerReport(string(rune('b'+j)), other.Use(), received)
 				}
-				for windows[0].Repeat(0) {
+				for windows[0].TakeExtra(0) {
 					total++
 				}
 				at = at.Add(minPropagation + time.Millisecond)
 			}
 			for _, w := range windows[1:] {
-				for w.Repeat(0) {
+				for w.TakeExtra(0) {
 					total++
 				}
 			}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,7 +1,7 @@
 // Package routing orders the upstreams that may take a request and bounds the extra attempts
 // that are made for requests. internal/entry uses Order and Budget; internal/gateway uses
-// Window, whose counts entries exchange by gossip. Order depends only on its arguments. Budget
-// bounds the retries of one process, Window the extra attempts of all entries together.
+// SharedBudget, whose counts entries exchange by gossip. Order depends only on its arguments. Budget
+// bounds the retries of one process, SharedBudget the extra attempts of all entries together.
 package routing
 
 import (
--- a/internal/routing/window.go
+++ b/internal/routing/window.go
@@ -27,16 +27,16 @@
 // Use holds the counts of one entry in the window.
 type Use struct {
 	Requests int
-	Repeats  int
+	Extra    int
 }
 
-// Window bounds the extra attempts (retries and hedges) of all entries in a sliding window to a
+// SharedBudget bounds the extra attempts (retries and hedges) of all entries in a sliding window to a
 // part of their requests plus an allowance for the whole deployment. Each entry has a share of
 // that and keeps a private fraction of it; the rest is lent among the entries that receive each
 // other's messages. An entry borrows at a time no more than what is available divided by the
 // number of those entries, because all may borrow before they learn of each other's attempts.
 // The share of an entry whose messages do not arrive stays reserved for it.
-type Window struct {
+type SharedBudget struct {
 	ratio float64
 	extra float64
 	span  time.Duration
@@ -63,62 +63,62 @@
 	lastReceived time.Time
 }
 
-// NewWindow returns a window that allows, in each span, ratio extra attempts for each request,
+// NewSharedBudget returns a budget that allows, in each span, ratio extra attempts for each request,
 // and extra more that are divided among the entries.
-func NewWindow(ratio, extra float64, span time.Duration, now func() time.Time) *Window {
-	return &Window{ratio: ratio, extra: extra, span: span, now: now, entries: 1, propagation: minPropagation, peerTTL: minPeerTTL, peers: map[string]peerUse{}}
+func NewSharedBudget(ratio, extra float64, span time.Duration, now func() time.Time) *SharedBudget {
+	return &SharedBudget{ratio: ratio, extra: extra, span: span, now: now, entries: 1, propagation: minPropagation, peerTTL: minPeerTTL, peers: map[string]peerUse{}}
 }
 
-// Entries sets the number of entries that share the allowance.
-func (w *Window) Entries(n int) {
+// SetEntries sets the number of entries that share the allowance.
+func (w *SharedBudget) SetEntries(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.entries = max(n, 1)
 }
 
-// Messages sets the time in which the other entries learn of an extra attempt, and the age up
+// SetMessageTimes sets the time in which the other entries learn of an extra attempt, and the age up
 // to which their counts are used. Both grow with the number of entries, since messages are
 // further apart then.
-func (w *Window) Messages(propagation, peerTTL time.Duration) {
+func (w *SharedBudget) SetMessageTimes(propagation, peerTTL time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.propagation, w.peerTTL = max(propagation, minPropagation), max(peerTTL, minPeerTTL)
 }
 
 // Use returns the counts of this entry in the window.
-func (w *Window) Use() Use {
+func (w *SharedBudget) Use() Use {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
 	return w.use()
 }
 
-// Heard records the counts of another entry that receives the messages of this one.
-func (w *Window) Heard(entry string, u Use) { w.HeardBy(entry, u, w.now()) }
+// RecordPeer records the counts of another entry that receives the messages of this one.
+func (w *SharedBudget) RecordPeer(entry string, u Use) { w.RecordPeerReport(entry, u, w.now()) }
 
-// HeardBy records the counts of another entry. lastReceived is when that entry last received a
+// RecordPeerReport records the counts of another entry. lastReceived is when that entry last received a
 // message of this one, as far as is known; zero means never.
-func (w *Window) HeardBy(entry string, u Use, lastReceived time.Time) {
+func (w *SharedBudget) RecordPeerReport(entry string, u Use, lastReceived time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.peers[entry] = peerUse{Use: u, receivedAt: w.now(), lastReceived: lastReceived}
 }
 
 // Request records a request of a caller.
-func (w *Window) Request() {
+func (w *SharedBudget) Request() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests[w.advance()]++
 }
 
-// Repeat takes one extra attempt from the budget; it returns false if the budget is used up.
+// TakeExtra takes one extra attempt from the budget; it returns false if the budget is used up.
 // reserve is the part of the budget, 0 to 1, that must stay for more important attempts.
-func (w *Window) Repeat(reserve float64) bool {
+func (w *SharedBudget) TakeExtra(reserve float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := w.advance()
 	own := w.use()
-	if float64(own.Repeats+1) > privateFraction*w.share(own)*(1-reserve) && !w.borrow(own, reserve) {
+	if float64(own.Extra+1) > privateFraction*w.share(own)*(1-reserve) && !w.borrow(own, reserve) {
 		return false
 	}
 	w.repeats[i]++
@@ -127,7 +127,7 @@
 
 // borrow takes one attempt from what the entries that exchange messages lend; it returns false
 // if that is used up.
-func (w *Window) borrow(own Use, reserve float64) bool {
+func (w *SharedBudget) borrow(own Use, reserve float64) bool {
 	now := w.now()
 	for len(w.borrowed) > 0 && now.Sub(w.borrowed[0]) > w.propagation {
 		w.borrowed = w.borrowed[1:]
@@ -156,23 +156,23 @@
 	return true
 }
 
-func (w *Window) use() Use { return Use{Requests: sum(w.requests[:]), Repeats: sum(w.repeats[:])} }
+func (w *SharedBudget) use() Use { return Use{Requests: sum(w.requests[:]), Extra: sum(w.repeats[:])} }
 
 // share returns what an entry with the counts u may use, before borrowing and lending.
-func (w *Window) share(u Use) float64 {
+func (w *SharedBudget) share(u Use) float64 {
 	return w.ratio*float64(u.Requests) + w.extra/float64(w.entries)
 }
 
 // lendable returns what others may borrow of an entry's share, less the part in reserve. It is
 // negative for an entry that borrowed from others.
-func (w *Window) lendable(u Use, reserve float64) float64 {
+func (w *SharedBudget) lendable(u Use, reserve float64) float64 {
 	share := w.share(u) * (1 - reserve)
-	return share - max(float64(u.Repeats), privateFraction*share)
+	return share - max(float64(u.Extra), privateFraction*share)
 }
 
 // advance moves to the bucket of the present time, clears the buckets in between and returns
 // the index of the current one.
-func (w *Window) advance() int {
+func (w *SharedBudget) advance() int {
 	current := int64(w.now().Sub(windowOrigin) / (w.span / windowBuckets))
 	steps := min(current-w.bucket, windowBuckets+1)
 	for k := int64(1); k <= steps; k++ {
--- a/internal/routing/window_test.go
+++ b/internal/routing/window_test.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// TestWindowBoundsRepeats checks the bound of a single entry, and that attempts are allowed again
+// TestSharedBudgetBoundsExtraAttempts checks the bound of a single entry, and that attempts are allowed again
 // once the window has passed.
-func TestWindowBoundsRepeats(t *testing.T) {
+func TestSharedBudgetBoundsExtraAttempts(t *testing.T) {
 	at := time.Now()
-	w := NewWindow(0.2, 8, 10*time.Second, func() time.Time { return at })
-	w.Entries(4)
+	w := NewSharedBudget(0.2, 8, 10*time.Second, func() time.Time { return at })
+	w.SetEntries(4)
 	for range 50 {
 		w.Request()
 	}
 	allowed := 0
-	for w.Repeat(0) {
+	for w.TakeExtra(0) {
 		allowed++
 	}
 	if allowed != 12 {
 		t.Errorf("%d repeats, want 0.2 x 50 + 8 / 4", allowed)
 	}
 	at = at.Add(5 * time.Second)
-	if w.Repeat(0) {
+	if w.TakeExtra(0) {
 		t.Error("a repeat beyond the budget in the same window")
 	}
 	at = at.Add(8 * time.Second)
-	if !w.Repeat(0) {
+	if !w.TakeExtra(0) {
 		t.Error("no repeat although the window has passed")
 	}
 }
 
-// TestWindowReserve checks that hedges leave their reserve of the budget to retries.
-func TestWindowReserve(t *testing.T) {
+// TestSharedBudgetReserve checks that hedges leave their reserve of the budget to retries.
+func TestSharedBudgetReserve(t *testing.T) {
 	at := time.Now()
-	w := NewWindow(0, 10, 10*time.Second, func() time.Time { return at })
+	w := NewSharedBudget(0, 10, 10*time.Second, func() time.Time { return at })
 	allowed := 0
-	for w.Repeat(0.5) {
+	for w.TakeExtra(0.5) {
 		allowed++
 	}
 	if allowed != 5 {
 		t.Errorf("%d hedges, want half of 10", allowed)
 	}
-	if !w.Repeat(0) {
+	if !w.TakeExtra(0) {
 		t.Error("the reserve is not there for others")
 	}
 }
 
-// TestWindowSlides checks that the bound holds in any span of the window's length, wherever it
+// TestSharedBudgetSlides checks that the bound holds in any span of the window's length, wherever it
 // starts. A window that is cleared as a whole allows twice the budget around that moment.
-func TestWindowSlides(t *testing.T) {
+func TestSharedBudgetSlides(t *testing.T) {
 	at := time.Now()
-	w := NewWindow(0, 10, 10*time.Second, func() time.Time { return at })
+	w := NewSharedBudget(0, 10, 10*time.Second, func() time.Time { return at })
 	var times []time.Time
 	for range 600 {
-		if w.Repeat(0) {
+		if w.TakeExtra(0) {
 			times = append(times, at)
 		}
 		at = at.Add(100 * time.Millisecond)
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestWindowBorrowsFromPeers checks what an entry may borrow, depending on the counts that the
+// TestSharedBudgetBorrowsFromPeers checks what an entry may borrow, depending on the counts that the
 // others reported.
-func TestWindowBorrowsFromPeers(t *testing.T) {
+func TestSharedBudgetBorrowsFromPeers(t *testing.T) {
 	tests := []struct {
 		name string
 		// peers holds the counts that the other three entries reported, and ago the age of
@@ -88,21 +88,21 @@
 	}{
 		{"no reports: own share only", nil, 0, 10},
 		{"idle peers lend a part of their shares", map[string]Use{"b": {}, "c": {}, "d": {}}, 0, 10},
-		{"used shares are not lent", map[string]Use{"b": {Repeats: 10}, "c": {Repeats: 10}, "d": {Repeats: 10}}, 0, 4},
-		{"attempts borrowed by a peer are subtracted", map[string]Use{"b": {Repeats: 26}, "c": {}, "d": {}}, 0, 4},
+		{"used shares are not lent", map[string]Use{"b": {Extra: 10}, "c": {Extra: 10}, "d": {Extra: 10}}, 0, 4},
+		{"attempts borrowed by a peer are subtracted", map[string]Use{"b": {Extra: 26}, "c": {}, "d": {}}, 0, 4},
 		{"old reports are ignored", map[string]Use{"b": {}, "c": {}, "d": {}}, time.Second, 10},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			at := time.Now()
-			w := NewWindow(0, 40, 10*time.Second, func() time.Time { return at })
-			w.Entries(4)
+			w := NewSharedBudget(0, 40, 10*time.Second, func() time.Time { return at })
+			w.SetEntries(4)
 			for name, u := range tt.peers {
-				w.Heard(name, u)
+				w.RecordPeer(name, u)
 			}
 			at = at.Add(tt.ago)
 			got := 0
-			for w.Repeat(0) {
+			for w.TakeExtra(0) {
 				got++
 			}
 			if got != tt.want {
@@ -116,14 +116,14 @@
 // others need none, gets all that they lend, a part at a time.
 func TestOneEntryBorrowsWhatOthersLend(t *testing.T) {
 	at := time.Now()
-	w := NewWindow(0, 40, 100*time.Second, func() time.Time { return at })
-	w.Entries(4)
+	w := NewSharedBudget(0, 40, 100*time.Second, func() time.Time { return at })
+	w.SetEntries(4)
 	got := 0
 	for range 20 {
 		for _, name := range []string{"b", "c", "d"} {
-			w.Heard(name, Use{})
+			w.RecordPeer(name, Use{})
 		}
-		for w.Repeat(0) {
+		for w.TakeExtra(0) {
 			got++
 		}
 		at = at.Add(minPropagation + time.Millisecond)
@@ -138,10 +138,10 @@
 func TestConcurrentEntriesKeepTheBudget(t *testing.T) {
 	const entries, extra = 5, 40
 	at := time.Now()
-	var windows []*Window
+	var windows []*SharedBudget
 	for range entries {
-		w := NewWindow(0, extra, 10*time.Second, func() time.Time { return at })
-		w.Entries(entries)
+		w := NewSharedBudget(0, extra, 10*time.Second, func() time.Time { return at })
+		w.SetEntries(entries)
 		windows = append(windows, w)
 	}
 	total := 0
@@ -150,12 +150,12 @@
 		for i, w := range windows {
 			for j, other := range windows {
 				if i != j {
-					w.Heard(string(rune('a'+j)), other.Use())
+					w.RecordPeer(string(rune('a'+j)), other.Use())
 				}
 			}
 		}
 		for _, w := range windows[1:] {
-			for w.Repeat(0) {
+			for w.TakeExtra(0) {
 				total++
 			}
 		}
@@ -177,18 +177,18 @@
 func TestIdleEntriesKeepTheirPrivateFraction(t *testing.T) {
 	const entries, extra = 5, 400
 	at := time.Now()
-	var windows []*Window
+	var windows []*SharedBudget
 	for range entries {
-		w := NewWindow(0, extra, 100*time.Second, func() time.Time { return at })
-		w.Entries(entries)
+		w := NewSharedBudget(0, extra, 100*time.Second, func() time.Time { return at })
+		w.SetEntries(entries)
 		windows = append(windows, w)
 	}
 	total := 0
 	for range 80 {
 		for j := range entries - 1 {
-			windows[0].Heard(string(rune('b'+j)), windows[j+1].Use())
+			windows[0].RecordPeer(string(rune('b'+j)), windows[j+1].Use())
 		}
-		for windows[0].Repeat(0) {
+		for windows[0].TakeExtra(0) {
 			total++
 		}
 		at = at.Add(minPropagation + time.Millisecond)
@@ -196,11 +196,11 @@
 	for i, w := range windows[1:] {
 		for j, other := range windows {
 			if j != i+1 {
-				w.Heard(string(rune('a'+j)), other.Use())
+				w.RecordPeer(string(rune('a'+j)), other.Use())
 			}
 		}
 		private := 0
-		for w.Repeat(0) {
+		for w.TakeExtra(0) {
 			private++
 		}
 		if private < int(privateFraction*extra/entries) {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -71,7 +71,7 @@
 mutant fleet-failing internal/fleet/failing.go 's/failingFactor = 3/failingFactor = 0/' internal/fleet TestFailing
 mutant relay-hold internal/relay/store.go 's/return min\(max\(left, minLongPollWait\), s\.settings\.Wait\)/_ = left\n\treturn s.settings.Wait/' internal/relay TestLongPollEndsBeforeTableIsStale
 mutant retries-together internal/routing/window.go 's/\(recent\+1\)\*float64\(sharers\) > available\+recent/recent+1 > available+recent+0*float64(sharers)/' internal/routing TestConcurrentEntries
-mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), privateFraction\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
+mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Extra\), privateFraction\*share\)/float64(u.Extra)/' internal/routing TestIdleEntries
 mutant link-pairs internal/link/link.go 's/if p\.answersPreviousRequest\(c, req, resp\) \{/if false {/' internal/link TestRepeatedAnswerIsSkipped
 mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && openAndSilent\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionReuse'
 mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfEarlierIncarnation
