--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -73,11 +73,11 @@
 }
 
 func (b *entryBuilder) status() membership.Status {
-	return membership.Status{Mark: b.store.Mark(), Load: membership.Load{AtMS: now().UnixMilli()}, Suspects: b.entry.Quarantine().Tell()}
+	return membership.Status{Mark: b.store.Mark(), Load: membership.Load{AtMS: now().UnixMilli()}, Suspects: b.entry.Quarantine().Reports()}
 }
 
-func (b *entryBuilder) peerSuspects(process string, records []quarantine.Word) {
-	b.entry.Quarantine().Hear(process, records)
+func (b *entryBuilder) peerSuspects(process string, records []quarantine.Report) {
+	b.entry.Quarantine().Merge(process, records)
 }
 
 func (b *entryBuilder) behind(c *peer.Conn, _ config.Mark) { _ = b.store.CatchUp(b.node.ctx, c) }
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -93,7 +93,7 @@
 // encodeHeldRequests returns the quarantined requests in the form in which the row of this entry in
 // the list of entries holds them; nil if there are none.
 func (b *gatewayBuilder) encodeHeldRequests() []byte {
-	held := b.gateway.Quarantine().Held()
+	held := b.gateway.Quarantine().Quarantined()
 	if len(held) == 0 {
 		return nil
 	}
@@ -113,12 +113,12 @@
 		b.rec.Note(events.RegisterFailed, "", "row", entry, "error", err)
 		return
 	}
-	b.gateway.Quarantine().Recall(quarantine.Decode(held, time.Now().Add(-max(age, 0))))
+	b.gateway.Quarantine().Restore(quarantine.Decode(held, time.Now().Add(-max(age, 0))))
 }
 
 // publishVerdicts renews the row of this entry once it has quarantined another request.
 func (b *gatewayBuilder) publishVerdicts() {
-	if n := b.gateway.Quarantine().Verdicts(); n != b.publishedVerdicts {
+	if n := b.gateway.Quarantine().LocalQuarantines(); n != b.publishedVerdicts {
 		b.publishedVerdicts = n
 		b.directory.RenewSoon()
 	}
@@ -128,7 +128,7 @@
 func (b *gatewayBuilder) ownState() gossip.State {
 	s := gossip.State{
 		Zone: b.settings.Zone, Relay: b.settings.RelayListen, Loads: b.gateway.Load(),
-		StopBy: b.gateway.StopBy(), StoreLost: b.source.StoreLost(), Leaving: b.fleet.KnownLeaving(), Faults: b.fleet.Faults(), Failures: b.fleet.Failures(), Retries: b.gateway.RetryUse(), Suspects: b.gateway.Quarantine().Tell(),
+		StopBy: b.gateway.StopBy(), StoreLost: b.source.StoreLost(), Leaving: b.fleet.KnownLeaving(), Faults: b.fleet.Faults(), Failures: b.fleet.Failures(), Retries: b.gateway.RetryUse(), Suspects: b.gateway.Quarantine().Reports(),
 	}
 	table, confirmed := b.routes.Current()
 	if table != nil {
@@ -143,7 +143,7 @@
 	b.gateway.PeerRetryUse(from, s.Retries, s.HeardUs)
 	b.fleet.PeerFaults(from, s.Faults)
 	b.fleet.PeerFailures(from, s.Failures)
-	b.gateway.Quarantine().Hear(from, s.Suspects)
+	b.gateway.Quarantine().Merge(from, s.Suspects)
 	b.fleet.PeerLeaving(from, s.Leaving)
 	if !s.Confirmed.IsZero() {
 		b.routes.Confirm(s.Routes, s.Confirmed)
--- a/internal/entry/crashing.go
+++ b/internal/entry/crashing.go
@@ -44,7 +44,7 @@
 	switch {
 	case err == nil:
 		return run, true
-	case errors.Is(err, quarantine.ErrHeld):
+	case errors.Is(err, quarantine.ErrQuarantined):
 		w.Header().Set(headerNoRetry, "false")
 		e.refuse(w, r.id, errQuarantined, time.Time{}, "fingerprint", q.Fingerprint)
 	default:
@@ -57,7 +57,7 @@
 // suspects as far as its isolation demands.
 func (e *Entry) isolatePeers(run *quarantine.Run, list []*membership.Peer) []*membership.Peer {
 	crashedRecently := 0
-	for _, route := range e.quarantine.EndedLately() {
+	for _, route := range e.quarantine.RecentlyCrashed() {
 		if route == run.Route() {
 			crashedRecently++
 		}
@@ -81,7 +81,7 @@
 	switch {
 	case isolation != quarantine.Apart:
 		return append(withoutSuspect, withSuspect...)
-	case !quarantine.MostThere(len(list)-crashedRecently, len(list)):
+	case !quarantine.EnoughAvailable(len(list)-crashedRecently, len(list)):
 		return nil
 	default:
 		return withoutSuspect
@@ -94,7 +94,7 @@
 	if incarnation == "" {
 		return
 	}
-	run.EndedWith(incarnation)
+	run.CrashedUnder(incarnation)
 }
 
 // reportLostSidecar reports to the quarantine that the connection to a sidecar was lost while it ran the
@@ -106,14 +106,14 @@
 		return
 	}
 	incarnation := sidecarIncarnation(sentTo)
-	run.Broke(incarnation)
+	run.ResponseLost(incarnation)
 	go func() {
 		c, err := net.DialTimeout("tcp", p.Address(), dialTimeout)
 		switch {
 		case err == nil:
 			_ = c.Close()
 		case errors.Is(err, syscall.ECONNREFUSED):
-			e.quarantine.Ended(incarnation)
+			e.quarantine.ConfirmCrash(incarnation)
 		}
 	}()
 }
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -39,7 +39,7 @@
 	errConnectionLost = &apiError{http.StatusBadGateway, "server_error", "outcome_unknown", "", "the link to the upstream was lost; the request may have run"}
 	errStreamCut      = &apiError{http.StatusBadGateway, "server_error", "stream_cut", "", "the stream was cut"}
 	errNotRun         = &apiError{http.StatusServiceUnavailable, "server_error", "not_run", "", "the call was not run"}
-	errQuarantined    = &apiError{http.StatusServiceUnavailable, "server_error", "request_held", "", quarantine.ErrHeld.Error()}
+	errQuarantined    = &apiError{http.StatusServiceUnavailable, "server_error", "request_held", "", quarantine.ErrQuarantined.Error()}
 	errOnTrial        = &apiError{http.StatusServiceUnavailable, "server_error", "request_on_trial", "", quarantine.ErrOnTrial.Error()}
 	errUnknown        = &apiError{http.StatusBadGateway, "server_error", "outcome_unknown", "", "it is not known whether the call ran"}
 	errOperator       = &apiError{http.StatusUnauthorized, "invalid_request_error", "invalid_operator_token", "", "incorrect operator token"}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -86,7 +86,7 @@
 	case p.Ended():
 		r.entry.reportCrash(r.run, p.EndedWith())
 	case time.Since(r.startedAt) > steadyAfter:
-		r.run.Steady()
+		r.run.EndTrial()
 	}
 }
 
--- a/internal/gateway/continue.go
+++ b/internal/gateway/continue.go
@@ -39,7 +39,7 @@
 		return step{}, false
 	}
 	if !s.rq.run.MaySend() {
-		s.notResumedWhy = quarantine.ErrHeld.Error()
+		s.notResumedWhy = quarantine.ErrQuarantined.Error()
 		return step{}, false
 	}
 	budget := s.g.budget(s.rq.service.Name)
--- a/internal/gateway/crashing.go
+++ b/internal/gateway/crashing.go
@@ -40,7 +40,7 @@
 		return true
 	case ctx.Err() != nil:
 		g.giveUp(ctx, rq, err.Error())
-	case errors.Is(err, quarantine.ErrHeld):
+	case errors.Is(err, quarantine.ErrQuarantined):
 		g.met.quarantined.Inc()
 		g.refuse(rq, http.StatusServiceUnavailable, err.Error(), 0)
 	default:
@@ -59,7 +59,7 @@
 	if u, known := g.fleet.Get(upstream.ID); known && u.State() == fleet.Leaving {
 		return
 	}
-	rq.run.Broke(upstream.ID)
+	rq.run.ResponseLost(upstream.ID)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.probing[upstream.ID] {
@@ -79,9 +79,9 @@
 	g.mu.Unlock()
 	switch {
 	case err == nil:
-		g.quarantine.Lives(upstream.ID)
+		g.quarantine.ConfirmAlive(upstream.ID)
 	case errors.Is(err, syscall.ECONNREFUSED):
-		g.quarantine.Ended(upstream.ID)
+		g.quarantine.ConfirmCrash(upstream.ID)
 	}
 }
 
@@ -98,14 +98,14 @@
 	}
 	maps.Copy(excluded, exclude)
 	list := g.fleet.Of(rq.service.Name)
-	crashed, now, available := g.quarantine.EndedLately(), g.now(), len(list)
+	crashed, now, available := g.quarantine.RecentlyCrashed(), g.now(), len(list)
 	for _, u := range list {
 		if _, crashedLately := crashed[u.ID]; crashedLately || u.AvoidUntil().After(now) || u.InBackOff(now) {
 			excluded[u.ID] = true
 			available--
 		}
 	}
-	if !quarantine.MostThere(available, len(list)) {
+	if !quarantine.EnoughAvailable(available, len(list)) {
 		for _, u := range list {
 			excluded[u.ID] = true
 		}
--- a/internal/gateway/crashing_test.go
+++ b/internal/gateway/crashing_test.go
@@ -258,8 +258,8 @@
 			}
 			for i := range tc.crashes {
 				start := strconv.Itoa(i)
-				run.Broke(start)
-				f.gateway.quarantine.Ended(start)
+				run.ResponseLost(start)
+				f.gateway.quarantine.ConfirmCrash(start)
 			}
 			run.Leave()
 			if got := f.ask(pathSafe); got.status != http.StatusOK {
--- a/internal/gateway/isolated_test.go
+++ b/internal/gateway/isolated_test.go
@@ -18,8 +18,8 @@
 		f.t.Fatal(err)
 	}
 	for _, start := range starts {
-		run.Broke(start)
-		f.gateway.quarantine.Ended(start)
+		run.ResponseLost(start)
+		f.gateway.quarantine.ConfirmCrash(start)
 	}
 	run.Leave()
 	run, err = f.gateway.quarantine.Enter(f.t.Context(), req, 0)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -42,7 +42,7 @@
 		s.advance(id, n)
 		s.recordPause()
 		if s.timeToFirstEvent > 0 && s.lastAt.Sub(s.rq.start) > s.timeToFirstEvent+suspectBlockTime {
-			s.rq.run.Steady()
+			s.rq.run.EndTrial()
 		}
 	}
 }
--- a/internal/gossip/badinput_test.go
+++ b/internal/gossip/badinput_test.go
@@ -147,7 +147,7 @@
 func bodyWithSuspects(tb testing.TB) []byte {
 	tb.Helper()
 	now := time.Now()
-	_, b, err := encodeBody(Settings{Name: "b", Life: "1"}, State{Suspects: []quarantine.Word{{Ends: map[string]time.Time{"e": now}}}}, time.Second, now)
+	_, b, err := encodeBody(Settings{Name: "b", Life: "1"}, State{Suspects: []quarantine.Report{{Crashes: map[string]time.Time{"e": now}}}}, time.Second, now)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -186,7 +186,7 @@
 }
 
 // decodeSuspects returns the suspects of a message.
-func (m message) decodeSuspects(now time.Time) []quarantine.Word {
+func (m message) decodeSuspects(now time.Time) []quarantine.Report {
 	suspects := quarantine.Decode(m.suspects, now)
 	quarantine.AddRuns(suspects, m.runs)
 	return suspects
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -90,9 +90,9 @@
 	want.StopBy, want.StoreLost, want.Leaving = now.Add(time.Second), true, []string{"e"}
 	want.Faults = map[string]time.Time{"e": now.Add(-time.Second)}
 	want.Failures = map[string]int{"f": 3}
-	want.Suspects = []quarantine.Word{{
+	want.Suspects = []quarantine.Report{{
 		Request: quarantine.Request{Fingerprint: quarantine.Fingerprint{1, 2}, Route: "r", Account: "acme"},
-		Ends:    map[string]time.Time{"e": now.Add(-2 * time.Second)}, Void: []string{"d"}, Runs: true,
+		Crashes: map[string]time.Time{"e": now.Add(-2 * time.Second)}, Voided: []string{"d"}, Runs: true,
 	}}
 	m, err := decode(encodeState(t, want, now))
 	if err != nil {
@@ -152,7 +152,7 @@
 	now := time.Now()
 	f.Add(encodeState(f, busyState(now), now))
 	f.Add(encodeState(f, State{}, now))
-	f.Add(encodeState(f, State{Suspects: []quarantine.Word{{Ends: map[string]time.Time{"e": now}}}}, now))
+	f.Add(encodeState(f, State{Suspects: []quarantine.Report{{Crashes: map[string]time.Time{"e": now}}}}, now))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decode(b)
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -57,7 +57,7 @@
 	// Retries is the entry's use of the retry budgets, by service.
 	Retries map[string]routing.Use
 	// Suspects lists the requests that the entry knows to have run on upstreams when those crashed.
-	Suspects []quarantine.Word
+	Suspects []quarantine.Report
 	// HeardUs is the send time of the receiver's latest message that had reached the sender of this
 	// State, by the receiver's monotonic clock; zero for none. It is not encoded: the receiver takes it
 	// from the echo.
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -102,7 +102,7 @@
 	Mark    config.Mark
 	Load    Load
 	// Suspects are the requests that were running when upstreams crashed.
-	Suspects []quarantine.Word
+	Suspects []quarantine.Report
 }
 
 // Self answers heartbeats for this process. The daemon sets the functions. Status is called for
@@ -113,7 +113,7 @@
 	Recorder *events.Recorder
 	Status   func() Status
 	Behind   func(c *peer.Conn, m config.Mark)
-	Suspects func(process string, words []quarantine.Word)
+	Suspects func(process string, words []quarantine.Report)
 }
 
 const (
--- a/internal/quarantine/bystanders_test.go
+++ b/internal/quarantine/bystanders_test.go
@@ -9,14 +9,14 @@
 
 // reportOf returns a peer's report about a request. crashes lists the crashed starts, separated by
 // a bar into those of ordinary runs and those of trial runs.
-func reportOf(name, crashes string, at time.Time) Word {
+func reportOf(name, crashes string, at time.Time) Report {
 	ordinary, trial, _ := strings.Cut(crashes, "|")
-	w := Word{
-		Request: request(name), Ends: map[string]time.Time{},
-		First: strings.Fields(ordinary), Tried: strings.Fields(trial),
+	w := Report{
+		Request: request(name), Crashes: map[string]time.Time{},
+		OrdinaryRuns: strings.Fields(ordinary), TrialRuns: strings.Fields(trial),
 	}
 	for start := range strings.FieldsSeq(strings.Replace(crashes, "|", " ", 1)) {
-		w.Ends[start] = at
+		w.Crashes[start] = at
 	}
 	return w
 }
@@ -28,7 +28,7 @@
 	var quarantined []string
 	for _, name := range names {
 		r, err := f.Enter(f.t.Context(), request(name), 0)
-		if errors.Is(err, ErrHeld) {
+		if errors.Is(err, ErrQuarantined) {
 			quarantined = append(quarantined, name)
 		}
 		if r != nil {
@@ -44,7 +44,7 @@
 // that had run only beside the poison request.
 func TestHarmlessRequestCoveredByPoisonRequestIsNotQuarantined(t *testing.T) {
 	f := newTestSet(t)
-	f.Hear("other", []Word{
+	f.Merge("other", []Report{
 		reportOf("poison", "1 | 2 3 4 5 6", f.clock), reportOf("harmless", "1 | 2 3 4 5", f.clock),
 		reportOf("bystander", "1 | 6", f.clock),
 	})
@@ -59,7 +59,7 @@
 // to the same upstreams.
 func TestNoQuarantineBeforePeerReportsArrive(t *testing.T) {
 	f := newTestSet(t)
-	f.Hear("other", nil)
+	f.Merge("other", nil)
 	for _, start := range []string{"1", "2", "3"} {
 		f.crashUnder("harmless", start)
 		f.clock = f.clock.Add(localReportTime)
@@ -67,7 +67,7 @@
 	if quarantined := f.quarantinedOf("harmless"); quarantined != "" {
 		t.Error("quarantined before peers can have reported other requests that ran there")
 	}
-	f.Hear("other", []Word{reportOf("poison", "1 | 2 3 4 5", f.clock)})
+	f.Merge("other", []Report{reportOf("poison", "1 | 2 3 4 5", f.clock)})
 	f.clock = f.clock.Add(peerReportTime)
 	if quarantined := f.quarantinedOf("harmless", "poison"); quarantined != "poison" {
 		t.Errorf("quarantined %q, want only the poison request", quarantined)
@@ -80,7 +80,7 @@
 // needed.
 func TestBystandersDoNotDelayQuarantine(t *testing.T) {
 	f := newTestSet(t)
-	f.Hear("other", []Word{
+	f.Merge("other", []Report{
 		reportOf("poison", "1 | 2 3 4", f.clock), reportOf("harmless", "2 | 3", f.clock),
 		reportOf("another harmless one", "1 | 2", f.clock),
 	})
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -4,8 +4,7 @@
 // restricts suspects and refuses a request once the crashes can be attributed to it.
 //
 // A start is one run of an upstream process, from one restart to the next. A crash is the unplanned
-// end of a start. Wire formats, log events and some exported names say "end" for a crash and "held"
-// for quarantined.
+// end of a start.
 package quarantine
 
 import (
--- a/internal/quarantine/innocent_test.go
+++ b/internal/quarantine/innocent_test.go
@@ -20,9 +20,9 @@
 // crashStart crashes a start during the given runs.
 func (f *fixture) crashStart(start string, runs []*Run) {
 	for _, r := range runs {
-		r.Broke(start)
+		r.ResponseLost(start)
 	}
-	f.Ended(start)
+	f.ConfirmCrash(start)
 	for _, r := range runs {
 		r.Leave()
 	}
@@ -40,7 +40,7 @@
 	f.crashStart("1", first)
 	f.crashStart("2", second)
 	f.crashStart("3", third)
-	if _, err := f.Enter(t.Context(), request("harmless"), 0); errors.Is(err, ErrHeld) {
+	if _, err := f.Enter(t.Context(), request("harmless"), 0); errors.Is(err, ErrQuarantined) {
 		t.Errorf("harmless request: %v", err)
 	}
 	f.clock = f.clock.Add(confirmTimeout)
@@ -52,8 +52,8 @@
 	r.Leave()
 	f.enter("harmless").Leave()
 	f.crashUnder("first poison", "4")
-	if _, err := f.Enter(t.Context(), request("first poison"), 0); !errors.Is(err, ErrHeld) {
-		t.Errorf("request that crashed three upstreams: %v, want %v", err, ErrHeld)
+	if _, err := f.Enter(t.Context(), request("first poison"), 0); !errors.Is(err, ErrQuarantined) {
+		t.Errorf("request that crashed three upstreams: %v, want %v", err, ErrQuarantined)
 	}
 }
 
@@ -71,11 +71,11 @@
 		if v.Fingerprint != named("c") {
 			continue
 		}
-		for _, start := range v.Ends {
+		for _, start := range v.Crashes {
 			merged = merged || start == "1"
 		}
-		if len(v.Ends) != 2 {
-			t.Errorf("%v crashed under it, want two starts", v.Ends)
+		if len(v.Crashes) != 2 {
+			t.Errorf("%v crashed under it, want two starts", v.Crashes)
 		}
 	}
 	if merged {
@@ -83,7 +83,7 @@
 	}
 	f.clock = f.clock.Add(confirmTimeout)
 	f.crashUnder("c", "1")
-	if _, err := f.Enter(t.Context(), request("c"), 0); !errors.Is(err, ErrHeld) {
-		t.Errorf("after a third crash: %v, want %v", err, ErrHeld)
+	if _, err := f.Enter(t.Context(), request("c"), 0); !errors.Is(err, ErrQuarantined) {
+		t.Errorf("after a third crash: %v, want %v", err, ErrQuarantined)
 	}
 }
--- a/internal/quarantine/isolation.go
+++ b/internal/quarantine/isolation.go
@@ -16,12 +16,12 @@
 	Apart
 )
 
-// MostThere reports whether at least two thirds of the upstreams are available, which is required
+// EnoughAvailable reports whether at least two thirds of the upstreams are available, which is required
 // to try a request with more than one crash. While upstreams crash one after another without a
 // poison request, a suspect would soon have run at three more crashes. In 20 simulations with a
 // crash every 0.15 s, 9 of 10,900 harmless requests were refused as quarantined with this bound and
 // 186 with a bound of one half.
-func MostThere(available, total int) bool { return 3*available >= 2*total }
+func EnoughAvailable(available, total int) bool { return 3*available >= 2*total }
 
 // Isolation returns how far the request must be kept from suspects.
 func (r *Run) Isolation() Isolation {
--- a/internal/quarantine/laterstart.go
+++ b/internal/quarantine/laterstart.go
@@ -39,9 +39,9 @@
 	return false
 }
 
-// EndedLately returns the upstreams that crashed within the usual downtime while they ran requests,
+// RecentlyCrashed returns the upstreams that crashed within the usual downtime while they ran requests,
 // each with the route of one of these requests.
-func (s *Set) EndedLately() map[string]string {
+func (s *Set) RecentlyCrashed() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.now().Add(-usualDowntime)
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -21,14 +21,14 @@
 // View is what operators see of a suspect.
 type View struct {
 	Request
-	// Ends lists the starts whose crashes count against the request, and Latest is the time of the
+	// Crashes lists the starts whose crashes count against the request, and Latest is the time of the
 	// latest of these crashes.
-	Ends   []string
-	Latest time.Time
-	// Held is the time at which the request was quarantined, and Until the time at which it may be
-	// tried again. Both are zero if it is not quarantined.
-	Held  time.Time
-	Until time.Time
+	Crashes []string
+	Latest  time.Time
+	// QuarantinedAt is the time at which the request was quarantined, and QuarantinedUntil the time at
+	// which it may be tried again. Both are zero if it is not quarantined.
+	QuarantinedAt    time.Time
+	QuarantinedUntil time.Time
 	// Refused is how often this entry refused the request because of the quarantine.
 	Refused int
 }
@@ -49,11 +49,11 @@
 	for _, u := range listed {
 		v := View{
 			Request: Request{Fingerprint: u.fingerprint, Route: u.route, Account: u.account},
-			Ends:    slices.Sorted(slices.Values(u.activeCrashes())), Latest: u.latestCrash(),
-			Held: u.quarantinedAt, Refused: u.refused,
+			Crashes: slices.Sorted(slices.Values(u.activeCrashes())), Latest: u.latestCrash(),
+			QuarantinedAt: u.quarantinedAt, Refused: u.refused,
 		}
 		if !u.quarantinedAt.IsZero() {
-			v.Until = u.quarantinedUntil()
+			v.QuarantinedUntil = u.quarantinedUntil()
 		}
 		out = append(out, v)
 	}
@@ -112,10 +112,10 @@
 	for _, v := range s.List() {
 		b := viewBody{
 			Fingerprint: v.Fingerprint.String(), Route: v.Route, Account: v.Account,
-			Ends: v.Ends, Latest: v.Latest, Refused: v.Refused,
+			Ends: v.Crashes, Latest: v.Latest, Refused: v.Refused,
 		}
-		if !v.Held.IsZero() {
-			b.Held, b.Until = &v.Held, &v.Until
+		if !v.QuarantinedAt.IsZero() {
+			b.Held, b.Until = &v.QuarantinedAt, &v.QuarantinedUntil
 		}
 		out.Requests = append(out.Requests, b)
 	}
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -13,7 +13,7 @@
 	f, g := newTestSet(t), newTestSet(t)
 	f.crashUnder("b", "9")
 	f.crashUnder("a", "1", "2", "3")
-	g.Hear("f", f.Tell())
+	g.Merge("f", f.Reports())
 	if f.enterError() == nil {
 		t.Fatal("not quarantined")
 	}
@@ -38,6 +38,6 @@
 		}
 	}
 	f.enter("a").Leave()
-	g.Hear("f", f.Tell())
+	g.Merge("f", f.Reports())
 	g.enter("a").Leave()
 }
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Message is the wire form of a Word, encoded as CBOR or JSON. It carries ages instead of times,
+// Message is the wire form of a Report, encoded as CBOR or JSON. It carries ages instead of times,
 // because the clocks of entries differ.
 type Message struct {
 	_           struct{} `cbor:",toarray"`
@@ -12,21 +12,21 @@
 	// EndAgesMS maps each start that crashed under the request to the age of the crash in
 	// milliseconds.
 	EndAgesMS map[string]int64 `json:"e,omitempty"`
-	// Void lists the starts whose crashes no longer count against the request.
+	// Voided lists the starts whose crashes no longer count against the request.
 	Void []string `json:"v,omitempty"`
 	// Runs is set if the sender is running the request.
 	Runs bool `json:"x,omitempty"`
 }
 
 // Encode converts reports to messages; it returns nil if there are none.
-func Encode(reports []Word, now time.Time) []Message {
+func Encode(reports []Report, now time.Time) []Message {
 	var out []Message
 	for _, w := range reports {
-		m := Message{Fingerprint: w.Fingerprint[:], Route: w.Route, Account: w.Account, Void: w.Void, Runs: w.Runs}
-		if len(w.Ends) > 0 {
-			m.EndAgesMS = make(map[string]int64, len(w.Ends))
+		m := Message{Fingerprint: w.Fingerprint[:], Route: w.Route, Account: w.Account, Void: w.Voided, Runs: w.Runs}
+		if len(w.Crashes) > 0 {
+			m.EndAgesMS = make(map[string]int64, len(w.Crashes))
 		}
-		for start, at := range w.Ends {
+		for start, at := range w.Crashes {
 			m.EndAgesMS[start] = now.Sub(at).Milliseconds()
 		}
 		out = append(out, m)
@@ -35,19 +35,19 @@
 }
 
 // Decode converts messages to reports. It drops messages without a valid fingerprint.
-func Decode(messages []Message, now time.Time) []Word {
-	var out []Word
+func Decode(messages []Message, now time.Time) []Report {
+	var out []Report
 	for _, m := range messages {
-		w := Word{Request: Request{Route: m.Route, Account: m.Account}, Void: m.Void, Runs: m.Runs}
+		w := Report{Request: Request{Route: m.Route, Account: m.Account}, Voided: m.Void, Runs: m.Runs}
 		if len(m.Fingerprint) != len(w.Fingerprint) {
 			continue
 		}
 		copy(w.Fingerprint[:], m.Fingerprint)
 		if len(m.EndAgesMS) > 0 {
-			w.Ends = make(map[string]time.Time, len(m.EndAgesMS))
+			w.Crashes = make(map[string]time.Time, len(m.EndAgesMS))
 		}
 		for start, age := range m.EndAgesMS {
-			w.Ends[start] = now.Add(-time.Duration(age) * time.Millisecond)
+			w.Crashes[start] = now.Add(-time.Duration(age) * time.Millisecond)
 		}
 		out = append(out, w)
 	}
@@ -66,23 +66,23 @@
 }
 
 // EncodeRuns converts the run information of reports to messages; it returns nil if there is none.
-func EncodeRuns(reports []Word) []RunsMessage {
+func EncodeRuns(reports []Report) []RunsMessage {
 	var out []RunsMessage
 	for _, w := range reports {
-		if len(w.First)+len(w.Tried)+len(w.At) > 0 {
-			out = append(out, RunsMessage{Fingerprint: w.Fingerprint[:], First: w.First, Tried: w.Tried, At: w.At})
+		if len(w.OrdinaryRuns)+len(w.TrialRuns)+len(w.At) > 0 {
+			out = append(out, RunsMessage{Fingerprint: w.Fingerprint[:], First: w.OrdinaryRuns, Tried: w.TrialRuns, At: w.At})
 		}
 	}
 	return out
 }
 
 // AddRuns sets the run information of reports from the messages with the same fingerprint.
-func AddRuns(reports []Word, runs []RunsMessage) {
+func AddRuns(reports []Report, runs []RunsMessage) {
 	for i := range reports {
 		w := &reports[i]
 		for _, m := range runs {
 			if string(m.Fingerprint) == string(w.Fingerprint[:]) {
-				w.First, w.Tried, w.At = m.First, m.Tried, m.At
+				w.OrdinaryRuns, w.TrialRuns, w.At = m.First, m.Tried, m.At
 			}
 		}
 	}
--- a/internal/quarantine/message_test.go
+++ b/internal/quarantine/message_test.go
@@ -11,8 +11,8 @@
 
 func TestMessageRoundTrip(t *testing.T) {
 	now := time.Now()
-	want := []Word{
-		{Request: Request{Fingerprint: named("a"), Route: "r", Account: "acme"}, Ends: map[string]time.Time{"1": now.Add(-time.Second)}, Void: []string{"0"}, Runs: true},
+	want := []Report{
+		{Request: Request{Fingerprint: named("a"), Route: "r", Account: "acme"}, Crashes: map[string]time.Time{"1": now.Add(-time.Second)}, Voided: []string{"0"}, Runs: true},
 		{Request: Request{Fingerprint: named("b")}},
 	}
 	for _, tc := range []struct {
--- a/internal/quarantine/place_test.go
+++ b/internal/quarantine/place_test.go
@@ -5,7 +5,7 @@
 // place returns an upstream for a run, with its current start; nil if there is none.
 func (c *multiRig) place(e *Set, run *Run) (u *rigUpstream, start string, ended chan struct{}) {
 	isolation, trials := run.Isolation(), e.Trials()
-	if isolation == Apart && !MostThere(c.available(), len(c.upstreams)) {
+	if isolation == Apart && !EnoughAvailable(c.available(), len(c.upstreams)) {
 		return nil, "", nil
 	}
 	for range 4 * len(c.upstreams) {
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -83,22 +83,22 @@
 	}
 }
 
-// Broke notes that the connection to a start was lost before its response was complete. The start
+// ResponseLost notes that the connection to a start was lost before its response was complete. The start
 // is given by the name under which the request was routed. The caller then finds out whether the
-// upstream crashed and calls Set.Ended or Set.Lives.
-func (r *Run) Broke(start string) {
+// upstream crashed and calls Set.ConfirmCrash or Set.ConfirmAlive.
+func (r *Run) ResponseLost(start string) {
 	r.set.mu.Lock()
 	defer r.set.mu.Unlock()
 	r.responseLost(start, r.set.resolveStart(start, r.sentAt))
 }
 
-// EndedWith notes that a start crashed while it ran the request, as reported by the upstream's
+// CrashedUnder notes that a start crashed while it ran the request, as reported by the upstream's
 // sidecar.
-func (r *Run) EndedWith(start string) {
+func (r *Run) CrashedUnder(start string) {
 	r.set.mu.Lock()
 	r.responseLost(start, start)
 	r.set.mu.Unlock()
-	r.set.Ended(start)
+	r.set.ConfirmCrash(start)
 }
 
 // responseLost notes a lost response. actualStart differs from routedTo if a later start ran the
@@ -147,9 +147,9 @@
 	s.updateQuarantines()
 }
 
-// Steady notes that the request runs well after its start, so it is not about to crash its upstream.
+// EndTrial notes that the request runs well after its start, so it is not about to crash its upstream.
 // Other requests with its fingerprint need not wait for it to finish.
-func (r *Run) Steady() {
+func (r *Run) EndTrial() {
 	r.set.mu.Lock()
 	defer r.set.mu.Unlock()
 	r.endTrial()
--- a/internal/quarantine/scale_test.go
+++ b/internal/quarantine/scale_test.go
@@ -117,11 +117,11 @@
 			if !r.gossipDue[i].Swap(false) {
 				continue
 			}
-			reports := e.Tell()
+			reports := e.Reports()
 			time.AfterFunc(r.delay, func() {
 				for j, other := range r.entries {
 					if j != i {
-						other.Hear(strconv.Itoa(i), reports)
+						other.Merge(strconv.Itoa(i), reports)
 					}
 				}
 			})
@@ -149,9 +149,9 @@
 			run.Served()
 			return
 		}
-		run.Broke(start)
+		run.ResponseLost(start)
 		time.Sleep(detectionDelay)
-		e.Ended(start)
+		e.ConfirmCrash(start)
 		if !run.MayRepeat() {
 			return
 		}
@@ -209,7 +209,7 @@
 func (r *rig) countRefusal(err error, poison bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	quarantined := errors.Is(err, ErrHeld)
+	quarantined := errors.Is(err, ErrQuarantined)
 	switch {
 	case quarantined && poison:
 		r.quarantinedPoison++
@@ -261,7 +261,7 @@
 func (r *rig) keepAlive(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i, e := range r.entries {
-			e.Hear(strconv.Itoa((i+1)%len(r.entries)), nil)
+			e.Merge(strconv.Itoa((i+1)%len(r.entries)), nil)
 		}
 		time.Sleep(time.Second)
 	}
--- a/internal/quarantine/set.go
+++ b/internal/quarantine/set.go
@@ -60,8 +60,8 @@
 
 // The reasons for which a request is refused. Callers get these texts.
 var (
-	// ErrHeld is returned for a quarantined request.
-	ErrHeld = errors.New("upstreams ended while they ran this request")
+	// ErrQuarantined is returned for a quarantined request.
+	ErrQuarantined = errors.New("upstreams ended while they ran this request")
 	// ErrOnTrial is returned for a suspect while another run of it is in progress, or while it is
 	// not yet known whether upstreams crashed.
 	ErrOnTrial = errors.New("an upstream ended under this request, and it is being tried at another one")
@@ -122,13 +122,13 @@
 
 // Enter begins to serve a request. A suspect runs once at a time: Enter waits until it may run, at
 // most for the given time, and then returns ErrOnTrial. For a quarantined request it returns
-// ErrHeld at once. Without this wait, a poison request sent 30 times a second to 300 entries
+// ErrQuarantined at once. Without this wait, a poison request sent 30 times a second to 300 entries
 // crashed 13 or 14 upstreams instead of 10 (three simulations, gossip delayed by 0.1 s).
 func (s *Set) Enter(ctx context.Context, r Request, wait time.Duration) (*Run, error) {
 	var expired <-chan time.Time
 	for {
 		run, changed, err := s.enter(r)
-		if err == nil || errors.Is(err, ErrHeld) {
+		if err == nil || errors.Is(err, ErrQuarantined) {
 			return run, err
 		}
 		if expired == nil {
@@ -153,7 +153,7 @@
 	if u, ok := s.suspects[r.Fingerprint]; ok && s.restricted(u) {
 		if !u.quarantinedAt.IsZero() && s.now().Before(u.quarantinedUntil()) {
 			u.refused++
-			return nil, nil, ErrHeld
+			return nil, nil, ErrQuarantined
 		}
 		if s.suspicion(u) >= quarantineThreshold && !s.hasTurn(u) ||
 			s.running[r.Fingerprint] > 0 || s.runsAtPeer(r.Fingerprint) || s.decisionPending(u) {
@@ -264,9 +264,9 @@
 	)
 }
 
-// Ended confirms that a start of an upstream crashed. It becomes a crash of all requests that lost a
+// ConfirmCrash confirms that a start of an upstream crashed. It becomes a crash of all requests that lost a
 // response there.
-func (s *Set) Ended(start string) {
+func (s *Set) ConfirmCrash(start string) {
 	s.mu.Lock()
 	changed := false
 	for _, u := range s.suspects {
@@ -304,9 +304,9 @@
 	}
 }
 
-// Lives notes that a start whose responses were lost still accepts connections, so it probably did
+// ConfirmAlive notes that a start whose responses were lost still accepts connections, so it probably did
 // not crash.
-func (s *Set) Lives(start string) {
+func (s *Set) ConfirmAlive(start string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.suspects {
@@ -384,6 +384,6 @@
 	s.updateQuarantines()
 	s.mu.Unlock()
 	for start := range replacedStarts {
-		s.Ended(start)
+		s.ConfirmCrash(start)
 	}
 }
--- a/internal/quarantine/set_test.go
+++ b/internal/quarantine/set_test.go
@@ -43,8 +43,8 @@
 	for _, start := range starts {
 		r := f.enter(name)
 		r.Sent()
-		r.Broke(start)
-		f.Ended(start)
+		r.ResponseLost(start)
+		f.ConfirmCrash(start)
 		r.Leave()
 	}
 }
@@ -60,8 +60,8 @@
 	f.crashUnder("a", "1", "2")
 	f.enter("b").Leave()
 	f.crashUnder("a", "3")
-	if err := f.enterError(); !errors.Is(err, ErrHeld) {
-		t.Errorf("%v, want %v", err, ErrHeld)
+	if err := f.enterError(); !errors.Is(err, ErrQuarantined) {
+		t.Errorf("%v, want %v", err, ErrQuarantined)
 	}
 	f.enter("b").Leave()
 }
@@ -74,8 +74,8 @@
 	period := minQuarantine
 	for i := range 3 {
 		f.clock = f.clock.Add(period - time.Second)
-		if err := f.enterError(); !errors.Is(err, ErrHeld) {
-			t.Fatalf("before the end of quarantine period %d: %v, want %v", i, err, ErrHeld)
+		if err := f.enterError(); !errors.Is(err, ErrQuarantined) {
+			t.Fatalf("before the end of quarantine period %d: %v, want %v", i, err, ErrQuarantined)
 		}
 		f.clock = f.clock.Add(2 * time.Second)
 		r := f.enter("a")
@@ -90,8 +90,8 @@
 		if r.MaySend() || r.MayRepeat() {
 			t.Error("the trial may be sent twice")
 		}
-		r.Broke(start)
-		f.Ended(start)
+		r.ResponseLost(start)
+		f.ConfirmCrash(start)
 		r.Leave()
 		period *= 2
 	}
@@ -120,8 +120,8 @@
 	f.crashUnder("a", "3", "4")
 	f.enter("a").Leave()
 	f.crashUnder("a", "5")
-	if err := f.enterError(); !errors.Is(err, ErrHeld) {
-		t.Errorf("three crashes since it was served: %v, want %v", err, ErrHeld)
+	if err := f.enterError(); !errors.Is(err, ErrQuarantined) {
+		t.Errorf("three crashes since it was served: %v, want %v", err, ErrQuarantined)
 	}
 }
 
@@ -133,12 +133,12 @@
 	served.Served()
 	served.Leave()
 	f.crashUnder("a", "1", "2", "3")
-	f.Hear("peer", []Word{{Request: request("a"), Ends: map[string]time.Time{"4": f.clock, "5": f.clock, "6": f.clock}}})
+	f.Merge("peer", []Report{{Request: request("a"), Crashes: map[string]time.Time{"4": f.clock, "5": f.clock, "6": f.clock}}})
 	if r := f.enter("a"); r.Suspected() {
 		t.Error("suspected")
 	}
-	for _, w := range f.Tell() {
-		if len(w.Void) != 3 {
+	for _, w := range f.Reports() {
+		if len(w.Voided) != 3 {
 			t.Errorf("reported %v, want the three crashes void", w)
 		}
 	}
@@ -170,10 +170,10 @@
 		suspected bool
 	}{
 		{"no information yet", func(*fixture) {}, true},
-		{"upstream accepts connections", func(f *fixture) { f.Lives("1") }, false},
-		{"upstream refuses connections", func(f *fixture) { f.Ended("1") }, true},
+		{"upstream accepts connections", func(f *fixture) { f.ConfirmAlive("1") }, false},
+		{"upstream refuses connections", func(f *fixture) { f.ConfirmCrash("1") }, true},
 		{"upstream accepts connections and its next start is known", func(f *fixture) {
-			f.Lives("1")
+			f.ConfirmAlive("1")
 			f.Sweep(func(string) bool { return true })
 		}, true},
 		{"no information within the timeout", func(f *fixture) {
@@ -183,14 +183,14 @@
 		{"crash confirmed after the timeout", func(f *fixture) {
 			f.clock = f.clock.Add(confirmTimeout + time.Second)
 			f.Sweep(func(string) bool { return false })
-			f.Ended("1")
+			f.ConfirmCrash("1")
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newTestSet(t)
 			r := f.enter("a")
 			r.Sent()
-			r.Broke("1")
+			r.ResponseLost("1")
 			tc.then(f)
 			if got := r.Suspected(); got != tc.suspected {
 				t.Errorf("suspected %v, want %v", got, tc.suspected)
@@ -209,13 +209,13 @@
 	for _, start := range []string{"1", "2", "3"} {
 		r := f.enter("a")
 		r.Sent()
-		r.Broke(start)
+		r.ResponseLost(start)
 		r.Leave()
 	}
 	if err := f.enterError(); !errors.Is(err, ErrOnTrial) {
 		t.Errorf("%v, want %v", err, ErrOnTrial)
 	}
-	f.Lives("1")
+	f.ConfirmAlive("1")
 	f.enter("a").Leave()
 	f.clock = f.clock.Add(confirmTimeout + time.Second)
 	f.Sweep(func(string) bool { return false })
@@ -234,12 +234,12 @@
 	}{
 		{"first run is served", []string{"1"}, func(_ *fixture, r *Run) { r.Served() }, 100 * time.Millisecond, nil},
 		{"first run ends without a result", []string{"1"}, func(_ *fixture, r *Run) { r.Leave() }, 100 * time.Millisecond, nil},
-		{"first run is steady", []string{"1"}, func(_ *fixture, r *Run) { r.Steady() }, 100 * time.Millisecond, nil},
+		{"first run is steady", []string{"1"}, func(_ *fixture, r *Run) { r.EndTrial() }, 100 * time.Millisecond, nil},
 		{"first run crashes another upstream", []string{"1", "2"}, func(f *fixture, r *Run) {
-			r.Broke("3")
-			f.Ended("3")
+			r.ResponseLost("3")
+			f.ConfirmCrash("3")
 			r.Leave()
-		}, 100 * time.Millisecond, ErrHeld},
+		}, 100 * time.Millisecond, ErrQuarantined},
 		{"first run goes on", []string{"1"}, func(*fixture, *Run) {}, time.Second, ErrOnTrial},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -262,7 +262,7 @@
 // an entry that no longer sends messages.
 func TestSuspectWaitsForRunAtPeer(t *testing.T) {
 	f := newTestSet(t)
-	f.Hear("peer", []Word{{Request: request("a"), Ends: map[string]time.Time{"0": f.clock}, Runs: true}})
+	f.Merge("peer", []Report{{Request: request("a"), Crashes: map[string]time.Time{"0": f.clock}, Runs: true}})
 	if err := f.enterError(); !errors.Is(err, ErrOnTrial) {
 		t.Errorf("%v, want %v", err, ErrOnTrial)
 	}
@@ -281,10 +281,10 @@
 	if len(f.suspects) > maxSuspects {
 		t.Errorf("%d suspects, want at most %d", len(f.suspects), maxSuspects)
 	}
-	if err := f.enterError(); !errors.Is(err, ErrHeld) {
-		t.Errorf("%v, want %v", err, ErrHeld)
+	if err := f.enterError(); !errors.Is(err, ErrQuarantined) {
+		t.Errorf("%v, want %v", err, ErrQuarantined)
 	}
-	if reports := f.Tell(); len(reports) != maxReports || reports[0].Fingerprint != named("a") {
+	if reports := f.Reports(); len(reports) != maxReports || reports[0].Fingerprint != named("a") {
 		t.Errorf("%d reported, want %d with the quarantined request first", len(reports), maxReports)
 	}
 }
@@ -325,10 +325,10 @@
 			if len(f.suspects) != 1 {
 				t.Error("expired too soon")
 			}
-			reports := f.Tell()
+			reports := f.Reports()
 			f.clock = f.clock.Add(2 * time.Second)
 			f.Sweep(never)
-			f.Hear("peer", reports)
+			f.Merge("peer", reports)
 			if len(f.suspects) != 0 {
 				t.Error("not expired, or learned again from another entry")
 			}
--- a/internal/quarantine/several_test.go
+++ b/internal/quarantine/several_test.go
@@ -76,7 +76,7 @@
 	e := c.entries[entry]
 	run, err := e.Enter(context.Background(), request(name), 250*time.Millisecond)
 	if err != nil {
-		if errors.Is(err, ErrHeld) && !poison {
+		if errors.Is(err, ErrQuarantined) && !poison {
 			c.mu.Lock()
 			c.quarantinedNames[name]++
 			c.mu.Unlock()
@@ -95,9 +95,9 @@
 			run.Served()
 			return
 		}
-		run.Broke(start)
+		run.ResponseLost(start)
 		time.Sleep(detectionDelay)
-		e.Ended(start)
+		e.ConfirmCrash(start)
 		if !run.MayRepeat() {
 			return
 		}
@@ -143,10 +143,10 @@
 func (c *multiRig) gossipPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i, e := range c.entries {
-			reports := e.Tell()
+			reports := e.Reports()
 			for j, other := range c.entries {
 				if j != i {
-					other.Hear(strconv.Itoa(i), reports)
+					other.Merge(strconv.Itoa(i), reports)
 				}
 			}
 		}
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -18,8 +18,8 @@
 	f.clock = f.clock.Add(minDowntime / 2)
 	f.crashUnder("b", "1")
 	for _, v := range f.List() {
-		if !slices.Equal(v.Ends, []string{"1"}) {
-			t.Errorf("crashes %v, want only that of start 1", v.Ends)
+		if !slices.Equal(v.Crashes, []string{"1"}) {
+			t.Errorf("crashes %v, want only that of start 1", v.Crashes)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 			f.clock = f.clock.Add(confirmTimeout)
 			for name := range tc.beside {
 				err := error(nil)
-				for i := len(tc.beside[name]); i < ambiguousThreshold && !errors.Is(err, ErrHeld); i++ {
+				for i := len(tc.beside[name]); i < ambiguousThreshold && !errors.Is(err, ErrQuarantined); i++ {
 					f.crashUnder(name, name+strconv.Itoa(i))
 					f.clock = f.clock.Add(peerReportTime)
 					var r *Run
@@ -55,8 +55,8 @@
 						r.Leave()
 					}
 				}
-				if !errors.Is(err, ErrHeld) {
-					t.Fatalf("%s: %v, want %v", name, err, ErrHeld)
+				if !errors.Is(err, ErrQuarantined) {
+					t.Fatalf("%s: %v, want %v", name, err, ErrQuarantined)
 				}
 			}
 			f.enter("bystander")
@@ -78,21 +78,21 @@
 		s.SetName("entry-" + strconv.Itoa(i))
 		sets = append(sets, s)
 	}
-	report := Word{Request: request("a"), Ends: map[string]time.Time{}}
+	report := Report{Request: request("a"), Crashes: map[string]time.Time{}}
 	for _, start := range []string{"1", "2", "3"} {
-		report.Ends[start] = clock
-		report.First = append(report.First, start)
+		report.Crashes[start] = clock
+		report.OrdinaryRuns = append(report.OrdinaryRuns, start)
 	}
 	tried := map[int]int{}
-	for clock = clock.Add(peerReportTime); len(tried) < entries && clock.Before(report.Ends["1"].Add(time.Minute)); clock = clock.Add(100 * time.Millisecond) {
+	for clock = clock.Add(peerReportTime); len(tried) < entries && clock.Before(report.Crashes["1"].Add(time.Minute)); clock = clock.Add(100 * time.Millisecond) {
 		trying := 0
 		for i, s := range sets {
 			for j := range sets {
 				if j != i {
-					s.Hear("entry-"+strconv.Itoa(j), nil)
+					s.Merge("entry-"+strconv.Itoa(j), nil)
 				}
 			}
-			s.Hear("entry-"+strconv.Itoa((i+1)%entries), []Word{report, {Request: request("b"), Ends: report.Ends, First: report.First}})
+			s.Merge("entry-"+strconv.Itoa((i+1)%entries), []Report{report, {Request: request("b"), Crashes: report.Crashes, OrdinaryRuns: report.OrdinaryRuns}})
 			if r, err := s.Enter(t.Context(), request("a"), 0); err == nil {
 				trying++
 				tried[i]++
@@ -115,11 +115,11 @@
 	a.crashUnder("s", "1")
 	run := a.enter("s")
 	run.SentTo("up")
-	reports := a.Tell()
+	reports := a.Reports()
 	messages, runs := Encode(reports, a.clock), EncodeRuns(reports)
 	received := Decode(messages, b.clock)
 	AddRuns(received, runs)
-	b.Hear("a", received)
+	b.Merge("a", received)
 	if trials := b.Trials(); !trials["up"] || len(trials) != 1 {
 		t.Errorf("trials %v, want one at up", trials)
 	}
@@ -129,8 +129,8 @@
 	if got := run.Isolation(); got != ApartIfPossible {
 		t.Errorf("isolation %d after one crash, want %d", got, ApartIfPossible)
 	}
-	run.Broke("up")
-	a.Ended("up")
+	run.ResponseLost("up")
+	a.ConfirmCrash("up")
 	run.Leave()
 	if got := a.enter("s").Isolation(); got != Apart {
 		t.Errorf("isolation %d after two crashes, want %d", got, Apart)
@@ -144,14 +144,14 @@
 // entry of the previous release that does not send it, and from entries where the request was on
 // trial or not yet a suspect.
 func TestRunKindsMergeInAnyOrder(t *testing.T) {
-	crashReport := func(first, tried []string) Word {
-		return Word{Request: request("a"), Ends: map[string]time.Time{"1": time.Now()}, First: first, Tried: tried}
+	crashReport := func(first, tried []string) Report {
+		return Report{Request: request("a"), Crashes: map[string]time.Time{"1": time.Now()}, OrdinaryRuns: first, TrialRuns: tried}
 	}
-	reports := []Word{crashReport(nil, nil), crashReport(nil, []string{"1"}), crashReport([]string{"1"}, nil)}
+	reports := []Report{crashReport(nil, nil), crashReport(nil, []string{"1"}), crashReport([]string{"1"}, nil)}
 	for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 2, 0}, {1, 0, 2}} {
 		f := newTestSet(t)
 		for _, i := range order {
-			f.Hear("peer", []Word{reports[i]})
+			f.Merge("peer", []Report{reports[i]})
 		}
 		if kind := f.suspects[named("a")].crashes["1"].kind; kind != ordinaryRun {
 			t.Errorf("reports in order %v: kind %d, want %d", order, kind, ordinaryRun)
--- a/internal/quarantine/word.go
+++ b/internal/quarantine/word.go
@@ -19,18 +19,18 @@
 	maxNameBytes = 64
 )
 
-// Word is what an entry reports about a request to other entries. Reports may arrive in any order,
+// Report is what an entry reports about a request to other entries. Reports may arrive in any order,
 // repeatedly and late.
-type Word struct {
+type Report struct {
 	Request
-	// Ends maps the starts that crashed under the request to the time of the crash.
-	Ends map[string]time.Time
-	// First lists the crashed starts at which the request's run had begun before it was a suspect,
-	// and Tried those at which it ran as a suspect.
-	First []string
-	Tried []string
-	// Void lists the starts whose crashes no longer count against the request.
-	Void []string
+	// Crashes maps the starts that crashed under the request to the time of the crash.
+	Crashes map[string]time.Time
+	// OrdinaryRuns lists the crashed starts at which the request's run had begun before it was a suspect,
+	// and TrialRuns those at which it ran as a suspect.
+	OrdinaryRuns []string
+	TrialRuns    []string
+	// Voided lists the starts whose crashes no longer count against the request.
+	Voided []string
 	// Runs is set if the reporting entry runs the request. At is the upstream that runs it, if it
 	// was a suspect when it was sent there.
 	Runs bool
@@ -38,20 +38,20 @@
 }
 
 // kind returns how the request ran at a start.
-func (w *Word) kind(start string) runKind {
+func (w *Report) kind(start string) runKind {
 	switch {
-	case slices.Contains(w.First, start):
+	case slices.Contains(w.OrdinaryRuns, start):
 		return ordinaryRun
-	case slices.Contains(w.Tried, start):
+	case slices.Contains(w.TrialRuns, start):
 		return trialRun
 	default:
 		return unknownRun
 	}
 }
 
-// Tell returns the reports for the other entries, the most important first. It returns nil while
+// Reports returns the reports for the other entries, the most important first. It returns nil while
 // there are no suspects.
-func (s *Set) Tell() []Word {
+func (s *Set) Reports() []Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.suspects) == 0 {
@@ -64,7 +64,7 @@
 		}
 	}
 	slices.SortFunc(reported, func(a, b *suspect) int { return compareEvidence(b, a) })
-	out := make([]Word, 0, min(len(reported), maxReports))
+	out := make([]Report, 0, min(len(reported), maxReports))
 	for _, u := range reported[:min(len(reported), maxReports)] {
 		out = append(out, s.report(u))
 	}
@@ -97,14 +97,14 @@
 }
 
 // report returns the report about a request. The caller must hold the lock.
-func (s *Set) report(u *suspect) Word {
-	w := Word{
+func (s *Set) report(u *suspect) Report {
+	w := Report{
 		Request: Request{
 			Fingerprint: u.fingerprint,
 			Route:       u.route[:min(len(u.route), maxNameBytes)],
 			Account:     u.account[:min(len(u.account), maxNameBytes)],
 		},
-		Ends: map[string]time.Time{}, Runs: s.runsHere(u),
+		Crashes: map[string]time.Time{}, Runs: s.runsHere(u),
 	}
 	for r, upstream := range s.trials {
 		if r.request.Fingerprint == u.fingerprint {
@@ -115,21 +115,21 @@
 	for start, c := range u.crashes {
 		switch {
 		case c.voided() && s.shouldReportCrash(c):
-			w.Void = append(w.Void, start)
+			w.Voided = append(w.Voided, start)
 		case !c.voided() && (reportAll || s.shouldReportCrash(c)):
-			w.Ends[start] = c.at
+			w.Crashes[start] = c.at
 			switch c.kind {
 			case ordinaryRun:
-				w.First = append(w.First, start)
+				w.OrdinaryRuns = append(w.OrdinaryRuns, start)
 			case trialRun:
-				w.Tried = append(w.Tried, start)
+				w.TrialRuns = append(w.TrialRuns, start)
 			case unknownRun:
 			}
 		}
 	}
-	slices.Sort(w.First)
-	slices.Sort(w.Tried)
-	slices.Sort(w.Void)
+	slices.Sort(w.OrdinaryRuns)
+	slices.Sort(w.TrialRuns)
+	slices.Sort(w.Voided)
 	return w
 }
 
@@ -140,8 +140,8 @@
 	maxSavedCrashes = 8
 )
 
-// Held returns the quarantined requests, those with the most crashes first.
-func (s *Set) Held() []Word {
+// Quarantined returns the quarantined requests, those with the most crashes first.
+func (s *Set) Quarantined() []Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var quarantined []*suspect
@@ -151,13 +151,13 @@
 		}
 	}
 	slices.SortFunc(quarantined, func(a, b *suspect) int { return compareEvidence(b, a) })
-	var out []Word
+	var out []Report
 	for _, u := range quarantined[:min(len(quarantined), maxSaved)] {
 		w := s.report(u)
-		w.Void, w.First, w.Tried, w.Runs, w.At = nil, nil, nil, false, ""
-		for start := range w.Ends {
-			if len(w.Ends) > maxSavedCrashes {
-				delete(w.Ends, start)
+		w.Voided, w.OrdinaryRuns, w.TrialRuns, w.Runs, w.At = nil, nil, nil, false, ""
+		for start := range w.Crashes {
+			if len(w.Crashes) > maxSavedCrashes {
+				delete(w.Crashes, start)
 			}
 		}
 		out = append(out, w)
@@ -165,16 +165,16 @@
 	return out
 }
 
-// Verdicts returns how often a request was quarantined because of crashes that this entry saw.
-func (s *Set) Verdicts() int {
+// LocalQuarantines returns how often a request was quarantined because of crashes that this entry saw.
+func (s *Set) LocalQuarantines() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.localQuarantines
 }
 
-// Recall restores what Held returned before a restart of this entry, or at entries that may no
+// Restore restores what Quarantined returned before a restart of this entry, or at entries that may no
 // longer exist.
-func (s *Set) Recall(reports []Word) {
+func (s *Set) Restore(reports []Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := false
@@ -186,8 +186,8 @@
 	}
 }
 
-// Hear merges the reports of another entry.
-func (s *Set) Hear(entry string, reports []Word) {
+// Merge merges the reports of another entry.
+func (s *Set) Merge(entry string, reports []Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastHeard[entry] = s.now()
@@ -217,20 +217,20 @@
 
 // merge merges a report; it returns false if it contained nothing new. The caller must hold the
 // lock.
-func (s *Set) merge(w Word) (changed bool) {
-	if _, known := s.suspects[w.Fingerprint]; !known && len(w.Ends) == 0 {
+func (s *Set) merge(w Report) (changed bool) {
+	if _, known := s.suspects[w.Fingerprint]; !known && len(w.Crashes) == 0 {
 		// A report of voids alone has no effect on a request without known crashes.
 		return false
 	}
 	u := s.getOrAdd(w.Request)
-	for start, at := range w.Ends {
+	for start, at := range w.Crashes {
 		if u.addCrash(start, at, false) {
 			changed = true
 			s.voidIfServed(u, start)
 		}
 		changed = u.setRunKind(start, w.kind(start)) || changed
 	}
-	for _, start := range w.Void {
+	for _, start := range w.Voided {
 		changed = u.voidCrash(start, s.now()) || changed
 	}
 	if u.expired(s.now()) {
--- a/internal/quarantine/word_test.go
+++ b/internal/quarantine/word_test.go
@@ -16,7 +16,7 @@
 func TestNoGossipWithoutCrashes(t *testing.T) {
 	f := newTestSet(t)
 	f.enter("a").Sent()
-	if reports := f.Tell(); reports != nil {
+	if reports := f.Reports(); reports != nil {
 		t.Errorf("reported %v", reports)
 	}
 }
@@ -28,7 +28,7 @@
 		crashes []string
 		want    error
 	}{
-		{"a quarantined request", []string{"1", "2", "3"}, ErrHeld},
+		{"a quarantined request", []string{"1", "2", "3"}, ErrQuarantined},
 		{"a request with two crashes", []string{"1", "2"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			f.clock = f.clock.Add(time.Minute)
 			g := newTestSet(t)
 			g.clock = f.clock
-			g.Hear("f", f.Tell())
+			g.Merge("f", f.Reports())
 			if err := g.enterError(); !errors.Is(err, tc.want) {
 				t.Errorf("%v, want %v", err, tc.want)
 			}
@@ -53,14 +53,14 @@
 func TestClearanceReachesOtherEntries(t *testing.T) {
 	f, g := newTestSet(t), newTestSet(t)
 	f.crashUnder("a", "1", "2", "3")
-	g.Hear("f", f.Tell())
+	g.Merge("f", f.Reports())
 	f.clock, g.clock = f.clock.Add(minQuarantine+time.Second), g.clock.Add(minQuarantine+time.Second)
-	old := f.Tell()
+	old := f.Reports()
 	r := g.enter("a")
 	r.Served()
 	r.Leave()
-	f.Hear("g", g.Tell())
-	f.Hear("late", old)
+	f.Merge("g", g.Reports())
+	f.Merge("late", old)
 	f.enter("a").Leave()
 }
 
@@ -76,13 +76,13 @@
 		}
 		type message struct {
 			from, to int
-			reports  []Word
+			reports  []Report
 		}
 		var pending []message
 		send := func(from int) {
 			for to := range entries {
 				if to != from {
-					pending = append(pending, message{from, to, entries[from].Tell()})
+					pending = append(pending, message{from, to, entries[from].Reports()})
 				}
 			}
 		}
@@ -97,9 +97,9 @@
 				crashed++
 				for _, name := range names[:rapid.IntRange(1, 3).Draw(t, "requests")] {
 					run := &Run{set: entries[e], request: request(name)}
-					run.Broke(strconv.Itoa(crashed))
+					run.ResponseLost(strconv.Itoa(crashed))
 				}
-				entries[e].Ended(strconv.Itoa(crashed))
+				entries[e].ConfirmCrash(strconv.Itoa(crashed))
 				send(e)
 			},
 			"a request is served": func(t *rapid.T) {
@@ -120,7 +120,7 @@
 				}
 				i := rapid.IntRange(0, len(pending)-1).Draw(t, "message")
 				m := pending[i]
-				entries[m.to].Hear(strconv.Itoa(m.from), m.reports)
+				entries[m.to].Merge(strconv.Itoa(m.from), m.reports)
 				if rapid.Bool().Draw(t, "once") {
 					pending = slices.Delete(pending, i, i+1)
 				}
@@ -131,7 +131,7 @@
 		// let all entries report what they know by now.
 		for range len(entries) {
 			for _, m := range pending {
-				entries[m.to].Hear(strconv.Itoa(m.from), m.reports)
+				entries[m.to].Merge(strconv.Itoa(m.from), m.reports)
 			}
 			pending = nil
 			for e := range entries {
@@ -159,13 +159,13 @@
 	for i := range maxReports {
 		run := &Run{set: s, request: request(strconv.Itoa(i))}
 		for _, start := range []string{"1", "2", "3"} {
-			run.Broke(start + strconv.Itoa(i))
-			s.Ended(start + strconv.Itoa(i))
+			run.ResponseLost(start + strconv.Itoa(i))
+			s.ConfirmCrash(start + strconv.Itoa(i))
 		}
 	}
-	reports := s.Tell()
+	reports := s.Reports()
 	for b.Loop() {
-		s.Hear("peer", reports)
+		s.Merge("peer", reports)
 	}
 }
 
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -181,13 +181,13 @@
 mutant held-explained-by-one $held/set.go 's/if s\.explainedByOne\(u\) \{\n\t\treturn u\.unconfirmed\(\)\n\t\}/if len(s.explained.unexplained(u)) == 0 {\n\t\treturn u.unconfirmed()\n\t}/' $held TestCrashesExplainedByTwoRequests
 mutant held-turn $held/turn.go 's/return slices\.Index\(names, s\.name\)%groups == int\(since\/turnDuration\)%groups/return groups > 0/' $held TestEntriesTakeTurns
 mutant held-apart $gateway/crashing.go 's/if rq\.run\.Isolation\(\) != quarantine\.Apart \{/if true {/' $gateway TestSuspectsAreIsolated
-mutant held-most-there $gateway/crashing.go 's/if !quarantine\.MostThere\(available, len\(list\)\) \{/if available < 0 {/' $gateway TestSuspectsAreIsolated
+mutant held-most-there $gateway/crashing.go 's/if !quarantine\.EnoughAvailable\(available, len\(list\)\) \{/if available < 0 {/' $gateway TestSuspectsAreIsolated
 mutant held-trials-told $held/word.go 's/\t\t\tw\.At = upstream\n/\t\t\t_ = upstream\n/' $held TestTrialsAreGossiped
 mutant held-runs-told $held/word.go 's/u\.setRunKind\(start, w\.kind\(start\)\)/u.setRunKind(start, unknownRun)/' $held TestTrialsAreGossiped
 mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsAreIsolated
 mutant held-entry-apart internal/entry/crashing.go 's/case isolation != quarantine\.Apart:/case true:/' internal/entry TestIsolate
 mutant held-entry-down internal/sidecar/starts.go 's/sentWhileUp := !u\.down \|\| !u\.downAt\.Before\(sentAt\)/sentWhileUp := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
-mutant held-void-told $held/word.go 's/\t\t\tw\.Void = append\(w\.Void, start\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
+mutant held-void-told $held/word.go 's/\t\t\tw\.Voided = append\(w\.Voided, start\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
 mutant held-told-anew $held/word.go 's/\tif len\(u\.activeCrashes\(\)\) >= gossipByAllThreshold \{\n\t\treturn true\n\t\}\n//' $held TestNewEntryLearnsFromGossip
 mutant held-bounded $held/set.go 's/\t\ts\.evictIfFull\(\)\n//' $held TestSuspectsAreBounded
 mutant held-ends-bounded $held/suspect.go 's/if len\(u\.crashes\) >= maxCrashes \{/if false {/' $held TestCrashesOfOneRequestAreBounded
@@ -198,22 +198,22 @@
 mutant held-replaced $held/set.go 's/case replaced\(lost\.routedTo\):/case false:/' $held TestConfirmationOfLostResponses
 mutant held-account $held/fingerprint.go 's/\{method, host, target, account\}/{method, host, target}/' $held TestFingerprintOf
 mutant held-parts $held/fingerprint.go 's/\t\t_, _ = h\.Write\(size\[:\]\)\n//' $held TestFingerprintOf
-mutant held-ended $gateway/crashing.go 's/\t\tg\.quarantine\.Ended\(upstream\.ID\)\n//' $gateway TestOnlyCrashesMakeASuspect
+mutant held-ended $gateway/crashing.go 's/\t\tg\.quarantine\.ConfirmCrash\(upstream\.ID\)\n//' $gateway TestOnlyCrashesMakeASuspect
 mutant held-leaving $gateway/crashing.go 's/known && u\.State\(\) == fleet\.Leaving/known \&\& u.State() < 0/' $gateway TestOnlyCrashesMakeASuspect
-mutant held-lost-answer $gateway/crashing.go 's/g\.quarantine\.Lives\(upstream\.ID\)/g.quarantine.Ended(upstream.ID)/' $gateway TestOnlyCrashesMakeASuspect
+mutant held-lost-answer $gateway/crashing.go 's/g\.quarantine\.ConfirmAlive\(upstream\.ID\)/g.quarantine.ConfirmCrash(upstream.ID)/' $gateway TestOnlyCrashesMakeASuspect
 mutant held-hedge $gateway/call.go 's/ \|\| c\.rq\.run\.Suspected\(\) \{/ {/' $gateway TestSuspectIsNotHedged
 mutant held-call $gateway/call.go 's/\t\tg\.recordBrokenAnswer\(rq, u, r\.err\)\n//' $gateway TestPoisonRequestIsQuarantined
 mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.recordBrokenAnswer\(s\.rq, st\.at, err\)\n//' $gateway TestPoisonRequestIsQuarantined
-mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Hear\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
+mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Merge\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
 mutant held-untold internal/gossip/message.go 's/Suspects: quarantine\.Encode\(s\.Suspects/Suspects: quarantine.Encode(s.Suspects[:0]/' platform/soak TestCrashingRequest
 mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedValueSurvives
 mutant held-renewed internal/directory/directory.go 's/\t\t\trenewalDue = true\n//' internal/directory TestCarriedValueSurvives
-mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
+mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Restore\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
 mutant held-sidecar-starts internal/sidecar/starts.go 's/u\.restarts, u\.down = u\.restarts\+1, false/u.down = false/' internal/sidecar TestUpstreamIncarnations
 mutant held-entry-generation internal/entry/completions.go 's/\t\te\.reportCrash\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.incarnations\.endedDuring\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
-mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(incarnation\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
+mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.ResponseLost\(incarnation\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 
 mutant stop-noticed-late internal/daemon/gatewayhttp.go 's/signalled, earliest = b\.stalls\.earliestSignal\(\), /signalled, earliest = time.Now(), /' internal/daemon TestStopSignalTimes
