--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -144,7 +144,7 @@
 	b.fleet.PeerFaults(from, s.Faults)
 	b.fleet.PeerFailures(from, s.Failures)
 	b.gateway.Quarantine().Merge(from, s.Suspects)
-	b.fleet.PeerLeaving(from, s.Leaving)
+	b.fleet.PeerReportedLeaving(from, s.Leaving)
 	if !s.Confirmed.IsZero() {
 		b.routes.Confirm(s.Routes, s.Confirmed)
 	}
--- a/internal/daemon/upstreamrows.go
+++ b/internal/daemon/upstreamrows.go
@@ -33,12 +33,12 @@
 // older copy.
 func (u *upstreamRows) restore(rows []product.Record, settled time.Time) {
 	records, unreadable, _ := u.changes(rows, true)
-	u.fleet.Restore(records, unreadable, settled)
+	u.fleet.ApplyRestored(records, unreadable, settled)
 }
 
 // changes decodes changed rows. An answer may hold several changes of the same row, in order. Only
 // the last one is used.
-func (u *upstreamRows) changes(rows []product.Record, full bool) (records []fleet.Record, unreadable []string, gone []fleet.Gone) {
+func (u *upstreamRows) changes(rows []product.Record, full bool) (records []fleet.Record, unreadable []string, gone []fleet.Removal) {
 	lastIndex := make(map[string]int, len(rows))
 	for i, row := range rows {
 		lastIndex[row.Name] = i
@@ -52,7 +52,7 @@
 		}
 		if row.Gone {
 			u.bad.remove(row.Name)
-			gone = append(gone, fleet.Gone{Name: row.Name, Version: row.Version})
+			gone = append(gone, fleet.Removal{Name: row.Name, Version: row.Version})
 			continue
 		}
 		var r fleet.Record
--- a/internal/daemon/upstreamrows_test.go
+++ b/internal/daemon/upstreamrows_test.go
@@ -55,7 +55,7 @@
 // usableUpstreams returns the upstreams that get new work.
 func (f *rowsFixture) usableUpstreams() []string {
 	var out []string
-	for _, u := range f.set.Of("llm") {
+	for _, u := range f.set.Available("llm") {
 		out = append(out, u.ID)
 	}
 	slices.Sort(out)
@@ -207,7 +207,7 @@
 		return fleet.Record{Name: name, Service: "app"}, nil
 	}
 	f.apply([]product.Record{{Name: "oops", Version: 1}, {Name: "good", Version: 2}}, true, time.Time{})
-	if n := len(f.set.Of("app")); n != 1 || f.rejectionLines() != 1 {
+	if n := len(f.set.Available("app")); n != 1 || f.rejectionLines() != 1 {
 		t.Errorf("%d upstreams and %d lines, want the valid upstream and one line about the other", n, f.rejectionLines())
 	}
 }
--- a/internal/fleet/backoff_test.go
+++ b/internal/fleet/backoff_test.go
@@ -16,7 +16,7 @@
 		{"no other change", func(*fixture) {}, 3 * time.Second},
 		{"before a shorter one", func(f *fixture) { f.BackOff("a", f.at.Add(time.Second)) }, 3 * time.Second},
 		{"before a longer one", func(f *fixture) { f.BackOff("a", f.at.Add(4*time.Second)) }, 4 * time.Second},
-		{"before a good answer", func(f *fixture) { f.Note("a", Served) }, 3 * time.Second},
+		{"before a good answer", func(f *fixture) { f.RecordOutcome("a", Served) }, 3 * time.Second},
 		{"before its row is read again", func(f *fixture) { f.Update([]Record{record("a")}, nil, true, time.Time{}) }, 3 * time.Second},
 		{"before an implausibly late one", func(f *fixture) { f.BackOff("a", f.at.Add(1000*time.Hour)) }, maxBackOff},
 	} {
@@ -44,7 +44,7 @@
 	first := f.eligible("a")[0]
 	f.Update([]Record{startRecord("a", 200, 8)}, nil, false, time.Time{})
 	f.BackOff(first, f.at.Add(time.Minute))
-	for _, u := range f.Of("llm") {
+	for _, u := range f.Available("llm") {
 		if u.InBackOff(f.at) {
 			t.Errorf("%s is in backoff because of the previous start", u.ID)
 		}
--- a/internal/fleet/failing_test.go
+++ b/internal/fleet/failing_test.go
@@ -32,7 +32,7 @@
 			s.Update([]Record{{Name: "a", Service: "app"}, {Name: "b", Service: "app"}, {Name: "c", Service: "app"}}, nil, true, time.Time{})
 			for id, n := range tc.own {
 				for range n {
-					s.Note(id, Failed)
+					s.RecordOutcome(id, Failed)
 				}
 			}
 			s.PeerFailures("peer", tc.peer)
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -43,8 +43,8 @@
 	avoidBusy = 150 * time.Millisecond
 )
 
-// Note records how a request to an upstream ended.
-func (s *Set) Note(id string, o Outcome) {
+// RecordOutcome records how a request to an upstream ended.
+func (s *Set) RecordOutcome(id string, o Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, ok := s.byID[id]
--- a/internal/fleet/reported_leave_test.go
+++ b/internal/fleet/reported_leave_test.go
@@ -10,13 +10,13 @@
 // row lapsed and came back unchanged, and at entries that knew of the report only from another
 // entry.
 func TestSelfReportedLeaveIsFinal(t *testing.T) {
-	removeRow := func(f *fixture, graceUntil time.Time) { f.Update(nil, []Gone{{Name: "a"}}, false, graceUntil) }
+	removeRow := func(f *fixture, graceUntil time.Time) { f.Update(nil, []Removal{{Name: "a"}}, false, graceUntil) }
 	for _, tc := range []struct {
 		name   string
 		report func(f *fixture)
 	}{
 		{"in an answer", func(f *fixture) { f.AnsweredLeaving("a") }},
-		{"to another entry", func(f *fixture) { f.PeerLeaving("b", []string{"a"}) }},
+		{"to another entry", func(f *fixture) { f.PeerReportedLeaving("b", []string{"a"}) }},
 		{"in an answer, after its row lapsed", func(f *fixture) {
 			removeRow(f, f.at.Add(time.Second))
 			f.AnsweredLeaving("a")
@@ -55,7 +55,7 @@
 	f.Update([]Record{record("a"), record("b"), record("c")}, nil, true, time.Time{})
 	f.AnsweredLeaving("a")
 	f.Update([]Record{leavingRecord("b")}, nil, false, time.Time{})
-	f.PeerLeaving("other", []string{"c"})
+	f.PeerReportedLeaving("other", []string{"c"})
 	f.at = f.at.Add(time.Minute)
 	got := f.KnownLeaving()
 	slices.Sort(got)
--- a/internal/fleet/restored.go
+++ b/internal/fleet/restored.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Restore applies the complete table after the store was restored from a backup. Its records may be
+// ApplyRestored applies the complete table after the store was restored from a backup. Its records may be
 // older than what is known:
 //
 //   - A leave that an upstream reported itself stays final. An upstream whose row was gone stays
@@ -10,7 +10,7 @@
 //   - Of two starts the one that began later is kept, since versions from before the restore
 //     cannot be compared with later ones. The next row that is read overrides this.
 //   - An upstream that is missing has until graceUntil to write its row again.
-func (s *Set) Restore(records []Record, unreadable []string, graceUntil time.Time) {
+func (s *Set) ApplyRestored(records []Record, unreadable []string, graceUntil time.Time) {
 	s.mu.Lock()
 	s.restoring = true
 	for _, m := range s.byID {
--- a/internal/fleet/restored_test.go
+++ b/internal/fleet/restored_test.go
@@ -11,7 +11,7 @@
 // row, and rows of the backup that bring back upstreams that had left.
 func TestFleetAfterTheStoreWasRestored(t *testing.T) {
 	const grace = 5 * time.Second
-	restore := func(f *fixture, records ...Record) { f.Restore(records, nil, f.at.Add(grace)) }
+	restore := func(f *fixture, records ...Record) { f.ApplyRestored(records, nil, f.at.Add(grace)) }
 	writeRows := func(f *fixture, records ...Record) { f.Update(records, nil, false, f.at.Add(grace)) }
 	readTable := func(f *fixture, records ...Record) {
 		f.at = f.at.Add(grace)
@@ -47,7 +47,7 @@
 		}, 60},
 		{"its row is removed", nil, func(f *fixture) {
 			restore(f, other, startRecord("a", 100, 30))
-			f.Update(nil, []Gone{{Name: "a", Version: 38}}, false, time.Time{})
+			f.Update(nil, []Removal{{Name: "a", Version: 38}}, false, time.Time{})
 		}, 0},
 		{"its row shows again that it is leaving", nil, func(f *fixture) {
 			restore(f, other, startRecord("a", 100, 30))
@@ -62,14 +62,14 @@
 			restore(f, other, startRecord("a", 100, 30))
 			writeRows(f, startRecord("a", 100, 38))
 		}, 0},
-		{"the backup predates the removal of its row", func(f *fixture) { f.Update(nil, []Gone{{Name: "a", Version: 51}}, false, time.Time{}) }, func(f *fixture) {
+		{"the backup predates the removal of its row", func(f *fixture) { f.Update(nil, []Removal{{Name: "a", Version: 51}}, false, time.Time{}) }, func(f *fixture) {
 			restore(f, other, startRecord("a", 100, 30))
 		}, 0},
-		{"the backup predates the removal of its row, which is written again", func(f *fixture) { f.Update(nil, []Gone{{Name: "a", Version: 51}}, false, time.Time{}) }, func(f *fixture) {
+		{"the backup predates the removal of its row, which is written again", func(f *fixture) { f.Update(nil, []Removal{{Name: "a", Version: 51}}, false, time.Time{}) }, func(f *fixture) {
 			restore(f, other, startRecord("a", 100, 30))
 			writeRows(f, startRecord("a", 100, 38))
 		}, 100},
-		{"the backup predates the removal of its row, and a later table has it", func(f *fixture) { f.Update(nil, []Gone{{Name: "a", Version: 51}}, false, time.Time{}) }, func(f *fixture) {
+		{"the backup predates the removal of its row, and a later table has it", func(f *fixture) { f.Update(nil, []Removal{{Name: "a", Version: 51}}, false, time.Time{}) }, func(f *fixture) {
 			restore(f, other, startRecord("a", 100, 30))
 			readTable(f, other, startRecord("a", 100, 30))
 		}, 100},
@@ -109,7 +109,7 @@
 func TestUpstreamMissingFromTheBackupServesIfNoOtherDoes(t *testing.T) {
 	f := newFixture()
 	f.Update([]Record{startRecord("a", 100, 50)}, nil, true, time.Time{})
-	f.Restore(nil, nil, f.at.Add(5*time.Second))
+	f.ApplyRestored(nil, nil, f.at.Add(5*time.Second))
 	if got := f.eligible("a"); len(got) != 1 {
 		t.Errorf("work goes to %v, want the upstream that is there", got)
 	}
--- a/internal/fleet/set.go
+++ b/internal/fleet/set.go
@@ -34,8 +34,8 @@
 	ColdFor time.Duration
 }
 
-// Gone is the removal of an upstream's row from the store.
-type Gone struct {
+// Removal is the removal of an upstream's row from the store.
+type Removal struct {
 	Name string
 	// Version is the store's version of the removal, or 0 if unknown.
 	Version int64
@@ -152,11 +152,11 @@
 // table: upstreams that it lacks are taken as gone. If graceUntil lies in the future, upstreams
 // that are gone have until then to come back. A record of an unknown start ends the previous start
 // of the upstream; see resolveStart.
-func (s *Set) Update(records []Record, gone []Gone, full bool, graceUntil time.Time) {
+func (s *Set) Update(records []Record, gone []Removal, full bool, graceUntil time.Time) {
 	s.update(records, nil, gone, full, graceUntil)
 }
 
-func (s *Set) update(records []Record, unreadable []string, gone []Gone, full bool, graceUntil time.Time) {
+func (s *Set) update(records []Record, unreadable []string, gone []Removal, full bool, graceUntil time.Time) {
 	s.mu.Lock()
 	var departed []string
 	seen := make(map[string]bool, len(records))
@@ -170,7 +170,7 @@
 	if full {
 		for name := range s.byName {
 			if !seen[name] {
-				gone = append(gone, Gone{Name: name})
+				gone = append(gone, Removal{Name: name})
 			}
 		}
 	}
@@ -236,7 +236,7 @@
 
 // handleRemoval handles an upstream whose row is no longer in the store. An upstream that leaves
 // without reporting it still serves for a short time, so it is kept as leaving.
-func (s *Set) handleRemoval(g Gone, graceUntil time.Time) (id string, departs bool) {
+func (s *Set) handleRemoval(g Removal, graceUntil time.Time) (id string, departs bool) {
 	m, ok := s.byName[g.Name]
 	if !ok {
 		return "", false
@@ -303,9 +303,9 @@
 // whether that was unknown.
 func (s *Set) AnsweredLeaving(id string) bool { return s.markLeaving(id, "own answer", true) }
 
-// PeerLeaving applies another entry's list of upstreams that reported that they are leaving. An
+// PeerReportedLeaving applies another entry's list of upstreams that reported that they are leaving. An
 // upstream never withdraws such a report, so no record overrides it.
-func (s *Set) PeerLeaving(entry string, ids []string) {
+func (s *Set) PeerReportedLeaving(entry string, ids []string) {
 	for _, id := range ids {
 		s.markLeaving(id, entry, true)
 	}
@@ -358,10 +358,10 @@
 	return out
 }
 
-// Of returns the upstreams of a service that take new work: the serving ones, or the lapsed ones if
+// Available returns the upstreams of a service that take new work: the serving ones, or the lapsed ones if
 // none serves. The cached list of serving upstreams makes it fast: BenchmarkOf, with 4 upstreams of
 // the service beside 870 engines, takes 1.4 us, a scan of all upstreams 19 us.
-func (s *Set) Of(service string) []Upstream {
+func (s *Set) Available(service string) []Upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := s.servingIDs(service)
@@ -386,14 +386,14 @@
 	return out
 }
 
-// Some returns up to limit serving upstreams of a service, chosen anew by each call, and whether
+// Sample returns up to limit serving upstreams of a service, chosen anew by each call, and whether
 // these are all that take new work. random returns a number below n.
-func (s *Set) Some(service string, limit int, random func(n int) int) (list []Upstream, all bool) {
+func (s *Set) Sample(service string, limit int, random func(n int) int) (list []Upstream, all bool) {
 	s.mu.Lock()
 	ids := s.servingIDs(service)
 	if len(ids) <= limit {
 		s.mu.Unlock()
-		return s.Of(service), true
+		return s.Available(service), true
 	}
 	defer s.mu.Unlock()
 	list = make([]Upstream, 0, limit)
--- a/internal/fleet/set_test.go
+++ b/internal/fleet/set_test.go
@@ -44,12 +44,12 @@
 	f := newFixture()
 	f.Update([]Record{record("a"), record("b")}, nil, true, time.Time{})
 	f.Update([]Record{leavingRecord("a")}, nil, false, time.Time{})
-	f.Update(nil, []Gone{{Name: "a"}}, false, time.Time{})
+	f.Update(nil, []Removal{{Name: "a"}}, false, time.Time{})
 	f.MarkLeaving("a", "another entry")
 	if !slices.Equal(f.departed, []string{"a"}) {
 		t.Errorf("reported %v, want a once", f.departed)
 	}
-	if got := f.Of("llm"); len(got) != 1 || got[0].ID != "b" {
+	if got := f.Available("llm"); len(got) != 1 || got[0].ID != "b" {
 		t.Errorf("new work goes to %v, want b only", got)
 	}
 }
@@ -93,8 +93,8 @@
 func TestLapseEnds(t *testing.T) {
 	f := newFixture()
 	f.Update([]Record{record("a")}, nil, true, time.Time{})
-	f.Update(nil, []Gone{{Name: "a"}}, false, f.at.Add(2*time.Second))
-	if got := f.Of("llm"); len(got) != 1 {
+	f.Update(nil, []Removal{{Name: "a"}}, false, f.at.Add(2*time.Second))
+	if got := f.Available("llm"); len(got) != 1 {
 		t.Fatalf("a lapsed upstream is not used although there is no other")
 	}
 	f.at = f.at.Add(3 * time.Second)
@@ -115,8 +115,8 @@
 		leave func(f *fixture)
 		want  State
 	}{
-		{"after a lapse", func(f *fixture) { f.Update(nil, []Gone{{Name: "a"}}, false, f.at.Add(time.Second)) }, Serving},
-		{"after it was taken as gone", func(f *fixture) { f.Update(nil, []Gone{{Name: "a"}}, false, time.Time{}) }, Serving},
+		{"after a lapse", func(f *fixture) { f.Update(nil, []Removal{{Name: "a"}}, false, f.at.Add(time.Second)) }, Serving},
+		{"after it was taken as gone", func(f *fixture) { f.Update(nil, []Removal{{Name: "a"}}, false, time.Time{}) }, Serving},
 		{"after another entry marked it as leaving", func(f *fixture) { f.MarkLeaving("a", "another entry") }, Serving},
 		{"after its own report of a leave", func(f *fixture) { f.ReportedLeaving("a") }, Leaving},
 		{"after its own record of a leave", func(f *fixture) { f.Update([]Record{leavingRecord("a")}, nil, false, time.Time{}) }, Leaving},
@@ -143,7 +143,7 @@
 func TestUpstreamGoneIsForgotten(t *testing.T) {
 	f := newFixture()
 	f.Update([]Record{record("a")}, nil, true, time.Time{})
-	f.Update(nil, []Gone{{Name: "a"}}, false, time.Time{})
+	f.Update(nil, []Removal{{Name: "a"}}, false, time.Time{})
 	f.at = f.at.Add(goneRetention - time.Second)
 	f.Sweep()
 	if got := f.state(t); got != Leaving {
@@ -161,7 +161,7 @@
 func TestOnlySelfReportedLeavesAreGossiped(t *testing.T) {
 	f := newFixture()
 	f.Update([]Record{record("missing"), record("told"), record("reported"), record("recorded")}, nil, true, time.Time{})
-	f.Update([]Record{leavingRecord("recorded")}, []Gone{{Name: "missing"}}, false, time.Time{})
+	f.Update([]Record{leavingRecord("recorded")}, []Removal{{Name: "missing"}}, false, time.Time{})
 	f.MarkLeaving("told", "another entry")
 	f.ReportedLeaving("reported")
 	got := f.KnownLeaving()
@@ -174,18 +174,18 @@
 func TestHealthFromOutcomes(t *testing.T) {
 	f := newFixture()
 	f.Update([]Record{record("a")}, nil, true, time.Time{})
-	f.Note("a", Broken)
+	f.RecordOutcome("a", Broken)
 	u, _ := f.Get("a")
 	if !u.AvoidUntil().After(f.at) {
 		t.Error("an upstream whose connection broke is not avoided")
 	}
-	f.Note("a", Served)
+	f.RecordOutcome("a", Served)
 	u, _ = f.Get("a")
 	if u.AvoidUntil().After(f.at) {
 		t.Error("an upstream that serves again is still avoided")
 	}
 	for range 40 {
-		f.Note("a", Failed)
+		f.RecordOutcome("a", Failed)
 	}
 	u, _ = f.Get("a")
 	if u.FailureRate() < 0.9 {
@@ -201,13 +201,13 @@
 		wantSuspect bool
 		wantAvoided bool
 	}{
-		{"a request of this entry failed", func(f *fixture) { f.Note("a", Faulty) }, 0, true, true},
+		{"a request of this entry failed", func(f *fixture) { f.RecordOutcome("a", Faulty) }, 0, true, true},
 		{"another entry's request failed", func(f *fixture) { f.PeerFaults("b", map[string]time.Time{"a": f.at}) }, 0, true, true},
-		{"a good answer does not clear the suspicion", func(f *fixture) { f.Note("a", Faulty); f.Note("a", Served) }, 0, true, true},
-		{"repeatable requests go to it again soon", func(f *fixture) { f.Note("a", Faulty) }, avoidFaulty, true, false},
-		{"the fault expires", func(f *fixture) { f.Note("a", Faulty) }, suspectFor, false, false},
+		{"a good answer does not clear the suspicion", func(f *fixture) { f.RecordOutcome("a", Faulty); f.RecordOutcome("a", Served) }, 0, true, true},
+		{"repeatable requests go to it again soon", func(f *fixture) { f.RecordOutcome("a", Faulty) }, avoidFaulty, true, false},
+		{"the fault expires", func(f *fixture) { f.RecordOutcome("a", Faulty) }, suspectFor, false, false},
 		{"another entry reports an expired fault", func(f *fixture) { f.PeerFaults("b", map[string]time.Time{"a": f.at.Add(-suspectFor)}) }, 0, false, false},
-		{"a full upstream is not faulty", func(f *fixture) { f.Note("a", Busy) }, avoidBusy, false, false},
+		{"a full upstream is not faulty", func(f *fixture) { f.RecordOutcome("a", Busy) }, avoidBusy, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -231,7 +231,7 @@
 	f := newFixture()
 	f.Update([]Record{record("a"), record("b")}, nil, true, time.Time{})
 	f.PeerFaults("other", map[string]time.Time{"a": f.at})
-	f.Note("b", Faulty)
+	f.RecordOutcome("b", Faulty)
 	if got := f.Faults(); len(got) != 1 || !got["b"].Equal(f.at) {
 		t.Errorf("Faults returns %v, want b only", got)
 	}
@@ -253,7 +253,7 @@
 	}
 	s.Update(records, nil, true, time.Time{})
 	for b.Loop() {
-		if len(s.Of("app")) != 4 {
+		if len(s.Available("app")) != 4 {
 			b.Fatal("Of does not return all upstreams")
 		}
 	}
--- a/internal/fleet/starts_test.go
+++ b/internal/fleet/starts_test.go
@@ -24,7 +24,7 @@
 // eligible returns the IDs of the upstreams with the given name that take new work.
 func (f *fixture) eligible(name string) []string {
 	var out []string
-	for _, u := range f.Of("llm") {
+	for _, u := range f.Available("llm") {
 		if u.Name == name {
 			out = append(out, u.ID)
 		}
@@ -47,11 +47,11 @@
 		{"it reported that it was leaving", func(f *fixture, id string) { f.ReportedLeaving(id) }},
 		{"it reported that it was leaving and its row was removed", func(f *fixture, id string) {
 			f.ReportedLeaving(id)
-			f.Update(nil, []Gone{{Name: "a", Version: 3}}, false, time.Time{})
+			f.Update(nil, []Removal{{Name: "a", Version: 3}}, false, time.Time{})
 		}},
 		{"it left and was no longer kept", func(f *fixture, id string) {
 			f.ReportedLeaving(id)
-			f.Update(nil, []Gone{{Name: "a", Version: 3}}, false, time.Time{})
+			f.Update(nil, []Removal{{Name: "a", Version: 3}}, false, time.Time{})
 			f.at = f.at.Add(goneRetention)
 			f.Sweep()
 		}},
@@ -60,20 +60,20 @@
 			f.Update([]Record{startRecord("other", 1, 1)}, nil, true, f.at.Add(time.Minute))
 		}},
 		{"its lapse ended", func(f *fixture, _ string) {
-			f.Update(nil, []Gone{{Name: "a", Version: 3}}, false, f.at.Add(time.Second))
+			f.Update(nil, []Removal{{Name: "a", Version: 3}}, false, f.at.Add(time.Second))
 			f.at = f.at.Add(2 * time.Second)
 			f.Sweep()
 		}},
 		{"it was back after a lapse", func(f *fixture, _ string) {
-			f.Update(nil, []Gone{{Name: "a", Version: 3}}, false, f.at.Add(time.Second))
+			f.Update(nil, []Removal{{Name: "a", Version: 3}}, false, f.at.Add(time.Second))
 			f.Update([]Record{startRecord("a", 100, 4)}, nil, false, f.at.Add(time.Second))
 		}},
-		{"its connection broke", func(f *fixture, id string) { f.Note(id, Broken) }},
-		{"it had a fault", func(f *fixture, id string) { f.Note(id, Faulty) }},
+		{"its connection broke", func(f *fixture, id string) { f.RecordOutcome(id, Broken) }},
+		{"it had a fault", func(f *fixture, id string) { f.RecordOutcome(id, Faulty) }},
 		{"another entry saw a fault", func(f *fixture, id string) { f.PeerFaults("b", map[string]time.Time{id: f.at}) }},
 		{"it failed many requests", func(f *fixture, id string) {
 			for range 9 {
-				f.Note(id, Failed)
+				f.RecordOutcome(id, Failed)
 			}
 			f.PeerFailures("b", map[string]int{id: 20})
 		}},
@@ -161,12 +161,12 @@
 			f.Update([]Record{leavingStartRecord(200, 7)}, nil, false, time.Time{})
 		}},
 		{"the removal of its row", startRecord("a", 100, 5), startRecord("a", 200, 8), func(f *fixture, _ string) {
-			f.Update(nil, []Gone{{Name: "a", Version: 7}}, false, time.Time{})
+			f.Update(nil, []Removal{{Name: "a", Version: 7}}, false, time.Time{})
 		}},
 		{"its report that it is leaving", startRecord("a", 100, 5), startRecord("a", 200, 8), func(f *fixture, first string) { f.ReportedLeaving(first) }},
 		{"outcomes of its requests", startRecord("a", 100, 5), startRecord("a", 200, 8), func(f *fixture, first string) {
-			f.Note(first, Broken)
-			f.Note(first, Faulty)
+			f.RecordOutcome(first, Broken)
+			f.RecordOutcome(first, Faulty)
 			f.MarkLeaving(first, "another upstream has its address")
 		}},
 		{"reports of another entry", startRecord("a", 100, 5), startRecord("a", 200, 8), func(f *fixture, first string) {
@@ -230,9 +230,9 @@
 			for _, f := range []*fixture{ahead, behind} {
 				f.Update([]Record{serving, startRecord("other", 1, 1)}, nil, true, time.Time{})
 				for range 9 {
-					f.Note(f.eligible("a")[0], Failed)
+					f.RecordOutcome(f.eligible("a")[0], Failed)
 				}
-				f.Note(f.eligible("a")[0], Faulty)
+				f.RecordOutcome(f.eligible("a")[0], Faulty)
 			}
 			for _, news := range [][2]Record{{tc.later, tc.earlier}, {tc.earlier, tc.later}} {
 				ahead.Update([]Record{news[0]}, nil, false, time.Time{})
@@ -287,7 +287,7 @@
 	f := newFixture()
 	f.Update([]Record{startRecord("a", 100, 1)}, nil, true, time.Time{})
 	id := f.eligible("a")[0]
-	f.Note(id, Faulty)
+	f.RecordOutcome(id, Faulty)
 	f.Update([]Record{startRecord("a", 0, 2)}, nil, false, time.Time{})
 	if got := f.eligible("a"); !slices.Equal(got, []string{id}) {
 		t.Fatalf("work goes to %v, want %s as before", got, id)
--- a/internal/fleet/unreadable_test.go
+++ b/internal/fleet/unreadable_test.go
@@ -24,14 +24,14 @@
 		{"repeatedly", func(f *fixture) { unreadable(f, true); unreadable(f, false); unreadable(f, true) }, Serving, false, 0},
 		{"for a long time", func(f *fixture) { unreadable(f, true); f.at = after(f, time.Hour); f.Sweep() }, Serving, false, 0},
 		{"while lapsed", func(f *fixture) {
-			f.Update(nil, []Gone{{Name: "a"}}, false, after(f, time.Second))
+			f.Update(nil, []Removal{{Name: "a"}}, false, after(f, time.Second))
 			unreadable(f, false)
 			f.at = after(f, time.Minute)
 			f.Sweep()
 		}, Serving, false, 0},
 		{"then lapsed", func(f *fixture) {
 			unreadable(f, false)
-			f.Update(nil, []Gone{{Name: "a"}}, false, after(f, time.Second))
+			f.Update(nil, []Removal{{Name: "a"}}, false, after(f, time.Second))
 		}, Lapsed, false, 0},
 		{"then missing", func(f *fixture) { unreadable(f, false); f.Update(nil, nil, true, time.Time{}) }, Leaving, false, 1},
 		{"then leaving", func(f *fixture) {
@@ -43,21 +43,21 @@
 		{"then readable", func(f *fixture) { unreadable(f, false); f.Update([]Record{record("a")}, nil, false, time.Time{}) }, Serving, true, 0},
 		{"lapsed, then readable", func(f *fixture) {
 			unreadable(f, false)
-			f.Update(nil, []Gone{{Name: "a"}}, false, after(f, time.Second))
+			f.Update(nil, []Removal{{Name: "a"}}, false, after(f, time.Second))
 			f.Update([]Record{record("a")}, nil, false, time.Time{})
 		}, Serving, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture()
 			f.Update([]Record{record("a")}, nil, true, time.Time{})
-			if len(f.Of("llm")) != 1 {
+			if len(f.Available("llm")) != 1 {
 				t.Fatal("upstream a does not serve")
 			}
 			tc.run(f)
 			if got := f.state(t); got != tc.state {
 				t.Errorf("state %v, want %v", got, tc.state)
 			}
-			if got := len(f.Of("llm")) == 1; got != tc.used {
+			if got := len(f.Available("llm")) == 1; got != tc.used {
 				t.Errorf("new work %v, want %v", got, tc.used)
 			}
 			if len(f.departed) != tc.left {
@@ -71,11 +71,11 @@
 func TestUnreadableRecordOfUnknownUpstream(t *testing.T) {
 	f := newFixture()
 	f.UpdateAll(nil, []string{"a"}, nil, true, time.Time{})
-	if _, ok := f.Get("a"); ok || len(f.Of("llm")) != 0 {
+	if _, ok := f.Get("a"); ok || len(f.Available("llm")) != 0 {
 		t.Error("upstream a is known")
 	}
 	f.Update([]Record{record("a")}, nil, false, time.Time{})
-	if len(f.Of("llm")) != 1 {
+	if len(f.Available("llm")) != 1 {
 		t.Error("a readable record adds no upstream")
 	}
 }
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -16,8 +16,8 @@
 	}
 	check := func(when string, want int) {
 		t.Helper()
-		some, _ := f.Some("llm", 1, func(int) int { return 0 })
-		if got := len(f.Of("llm")); got != want || len(some) != min(want, 1) {
+		some, _ := f.Sample("llm", 1, func(int) int { return 0 })
+		if got := len(f.Available("llm")); got != want || len(some) != min(want, 1) {
 			t.Errorf("%s: Of returns %d upstreams and Some %d, want %d", when, got, len(some), want)
 		}
 	}
@@ -27,7 +27,7 @@
 	check("one closed", 2)
 	f.Update([]Record{recordIn("e", "z1")}, nil, false, time.Time{})
 	check("another upstream joins there", 2)
-	f.Update(nil, []Gone{{Name: "a"}}, false, f.at.Add(time.Second))
+	f.Update(nil, []Removal{{Name: "a"}}, false, f.at.Add(time.Second))
 	check("one there lapses", 2)
 	f.CloseZones(map[string]bool{"z1": true, "z2": true, "nowhere": true})
 	check("all closed", 0)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -90,7 +90,7 @@
 
 // markFaulty marks an engine as faulty and tells the other entries without delay.
 func (g *Gateway) markFaulty(upstream string) {
-	g.fleet.Note(upstream, fleet.Faulty)
+	g.fleet.RecordOutcome(upstream, fleet.Faulty)
 	g.peers.Urge()
 }
 
@@ -131,7 +131,7 @@
 // handleNoAnswer handles an attempt that ended before the head of an answer arrived.
 func (s *stream) handleNoAnswer(ctx context.Context, st step, err error) outcome {
 	if ctx.Err() == nil {
-		s.g.fleet.Note(st.at.ID, fleet.Broken)
+		s.g.fleet.RecordOutcome(st.at.ID, fleet.Broken)
 		s.g.recordBrokenAnswer(s.rq, st.at, err)
 	}
 	s.g.rec.Note(events.AnswerRejected, s.rq.call.ID, "upstream", st.at.ID, "error", err)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, id := range c.failed {
-		c.g.fleet.Note(id, fleet.Failed)
+		c.g.fleet.RecordOutcome(id, fleet.Failed)
 	}
 }
 
@@ -315,7 +315,7 @@
 	switch {
 	case r.err != nil && ctx.Err() != nil:
 	case r.err != nil:
-		g.fleet.Note(r.upstream, fleet.Broken)
+		g.fleet.RecordOutcome(r.upstream, fleet.Broken)
 		g.recordBrokenAnswer(rq, u, r.err)
 	case r.verdict == protocol.NotRun:
 		g.markBusy(r.upstream, r.header)
@@ -325,14 +325,14 @@
 		// callRun.reportFailures reports the error once it is known whether another upstream serves
 		// the request.
 	default:
-		g.fleet.Note(r.upstream, fleet.Served)
+		g.fleet.RecordOutcome(r.upstream, fleet.Served)
 	}
 }
 
 // markBusy records that an upstream refused a request without running it, and the retry time that
 // the upstream stated.
 func (g *Gateway) markBusy(upstream string, header http.Header) {
-	g.fleet.Note(upstream, fleet.Busy)
+	g.fleet.RecordOutcome(upstream, fleet.Busy)
 	if at := g.proto.ComeBack(header, g.now()); !at.IsZero() {
 		g.fleet.BusyUntil(upstream, at)
 	}
--- a/internal/gateway/crashing.go
+++ b/internal/gateway/crashing.go
@@ -97,7 +97,7 @@
 		excluded = map[string]bool{}
 	}
 	maps.Copy(excluded, exclude)
-	list := g.fleet.Of(rq.service.Name)
+	list := g.fleet.Available(rq.service.Name)
 	crashed, now, available := g.quarantine.RecentlyCrashed(), g.now(), len(list)
 	for _, u := range list {
 		if _, crashedLately := crashed[u.ID]; crashedLately || u.AvoidUntil().After(now) || u.InBackOff(now) {
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -30,7 +30,7 @@
 	r := f.record(name)
 	r.Born, r.Version = born, born
 	f.fleet.Update([]fleet.Record{r}, nil, false, time.Time{})
-	for _, u := range f.fleet.Of(r.Service) {
+	for _, u := range f.fleet.Available(r.Service) {
 		if u.Name == name {
 			return u
 		}
@@ -309,7 +309,7 @@
 	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 3, Held: 30}})
 	later := f.restart("a", 2)
 	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 9, Held: 90}})
-	c := f.gateway.candidates(f.fleet.Of("llm"), nil, time.Now())
+	c := f.gateway.candidates(f.fleet.Available("llm"), nil, time.Now())
 	if len(c) != 1 || c[0].ID != later.ID || c[0].Load != (gossip.Load{}) || c[0].Rate != 0 {
 		t.Errorf("candidates %+v, want the later incarnation without load", c)
 	}
--- a/internal/gateway/isolated_test.go
+++ b/internal/gateway/isolated_test.go
@@ -54,7 +54,7 @@
 			f.fleet.Update([]fleet.Record{{Name: "a", Service: "app", Slots: 6}, {Name: "b", Service: "app", Slots: 6}, {Name: "c", Service: "app", Slots: 6}}, nil, true, time.Time{})
 			f.suspectRun("other", "gone 3").SentTo(tc.other)
 			for _, id := range tc.broken {
-				f.fleet.Note(id, fleet.Broken)
+				f.fleet.RecordOutcome(id, fleet.Broken)
 			}
 			table, _ := f.routes.Current()
 			service, _ := table.Service("app")
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -252,7 +252,7 @@
 		b.Run(tc.name, func(b *testing.B) {
 			g, s := crowdedGateway(100)
 			for i := range tc.limited {
-				g.limits.Named(g.fleet.Of(s.rq.service.Name)[i].ID, 0.1)
+				g.limits.Named(g.fleet.Available(s.rq.service.Name)[i].ID, 0.1)
 			}
 			for b.Loop() {
 				_, _ = s.admit(b.Context(), nil)
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -187,7 +187,7 @@
 		}
 		g.moveRoom.Record(true, g.now())
 	case protocol.NoRoom:
-		g.fleet.Note(target.ID, fleet.Busy)
+		g.fleet.RecordOutcome(target.ID, fleet.Busy)
 		return true
 	case protocol.NoSuchRun:
 		g.met.moved("ended")
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -187,7 +187,7 @@
 	f := newFixture(t)
 	leaving := f.add("app", "leaving", serveOK)
 	f.add("app", "staying", serveOK)
-	f.fleet.PeerLeaving("other entry", []string{"leaving"})
+	f.fleet.PeerReportedLeaving("other entry", []string{"leaving"})
 	f.fleet.Update(f.records, nil, true, time.Time{})
 	for range 20 {
 		f.ask(pathOnce)
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -127,7 +127,7 @@
 	if len(set) == 0 {
 		return false
 	}
-	for _, u := range g.fleet.Of(service) {
+	for _, u := range g.fleet.Available(service) {
 		if set[u.ID] {
 			return true
 		}
@@ -142,7 +142,7 @@
 		return false
 	}
 	now, found := g.now(), false
-	for _, u := range g.fleet.Of(service) {
+	for _, u := range g.fleet.Available(service) {
 		if exclude[u.ID] {
 			continue
 		}
@@ -158,7 +158,7 @@
 // among those that are limited or in back-off and not excluded. It is zero if there is none.
 func (g *Gateway) nextOpening(service string, exclude map[string]bool) time.Time {
 	var earliest time.Time
-	for _, u := range g.fleet.Of(service) {
+	for _, u := range g.fleet.Available(service) {
 		at := g.limits.OpensAt(u.ID)
 		if u.BackOffUntil().After(at) {
 			at = u.BackOffUntil()
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -68,7 +68,7 @@
 // recordFirstEvent also sends the head of the answer to the caller.
 func (s *stream) recordFirstEvent(st step, answer *link.Answer, sent time.Time) {
 	g, now := s.g, s.g.now()
-	g.fleet.Note(st.at.ID, fleet.Served)
+	g.fleet.RecordOutcome(st.at.ID, fleet.Served)
 	if st.from != nil {
 		s.mu.Lock()
 		s.handover, s.copies = nil, nil
@@ -102,7 +102,7 @@
 	s.mu.Unlock()
 	if !moving {
 		if ctx.Err() == nil {
-			s.g.fleet.Note(st.at.ID, fleet.Broken)
+			s.g.fleet.RecordOutcome(st.at.ID, fleet.Broken)
 			s.g.recordBrokenAnswer(s.rq, st.at, err)
 		}
 		s.g.rec.Note(events.AnswerRejected, s.rq.call.ID, "upstream", st.at.ID, "error", err, "after-event", s.lastEvent, "events", s.events, "framed", answer.Framed, "rest", strconv.Itoa(len(rest)))
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -36,7 +36,7 @@
 mutant gateway-torn $gateway/eventreader.go 's/if n := wholeEvents\(e\.buf\[e\.start:e\.end\]\); n > 0/if n := e.end - e.start; n > 0/' $gateway TestBrokenStream
 mutant gateway-whole $gateway/relay.go 's/if errors\.Is\(err, io\.EOF\) && answer\.Framed && len\(rest\) == 0 && s\.headSent \{/if _ = errors.Is(err, io.EOF); s.headSent {/' $gateway TestBrokenStream
 mutant gateway-second-copy $gateway/move.go 's/s\.copies = append\(s\.copies, held\)/_ = append(s.copies, held)/' $gateway TestMove
-mutant gateway-faulty $gateway/attempt.go 's/s\.g\.markFaulty\(st\.at\.ID\)/s.g.fleet.Note(st.at.ID, fleet.Failed)/' $gateway TestEngineThatFailsAtOnce
+mutant gateway-faulty $gateway/attempt.go 's/s\.g\.markFaulty\(st\.at\.ID\)/s.g.fleet.RecordOutcome(st.at.ID, fleet.Failed)/' $gateway TestEngineThatFailsAtOnce
 mutant gateway-silent $gateway/attempt.go 's/\tg\.markFaulty\(upstream\)\n//' $gateway TestEngineThatStaysSilent
 mutant placement-spread $placement/target.go 's/drawIndex\(sameZone, v\.Random\(\)\)/drawIndex(sameZone, 0)/' $gateway TestTargetsOfMoves
 mutant placement-room $placement/room.go 's/return ErrMemory/return nil/' internal/placement TestRoom
