--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -259,12 +259,12 @@
 		Urge:  func() { b.gossip.Urge() },
 		Delay: func(zone string, nudged bool) time.Duration { return b.gossip.Delay(zone, nudged) },
 		Told:  func() (told, silence time.Duration) { return b.gossip.Told() },
-		Limits: limits.Others{
-			Heard: func() []limits.Entry { return b.gossip.Heard() },
-			Send:  func(to string, m limits.Message) { b.gossip.Send(to, m) },
-			Urge:  func() { b.gossip.UrgeEach() },
-			Told:  func() time.Duration { return b.gossip.ToldEach() },
-			Way:   func() time.Duration { return b.gossip.Way() },
+		Limits: limits.Peers{
+			LivePeers:     func() []limits.Entry { return b.gossip.Heard() },
+			Send:          func(to string, m limits.Message) { b.gossip.Send(to, m) },
+			Broadcast:     func() { b.gossip.UrgeEach() },
+			BroadcastTime: func() time.Duration { return b.gossip.ToldEach() },
+			RoundTrip:     func() time.Duration { return b.gossip.Way() },
 		},
 	}, b.rec, b.reg, time.Now)
 	b.gateway.Quarantine().SetName(s.Name)
--- a/internal/daemon/gatewaystatus.go
+++ b/internal/daemon/gatewaystatus.go
@@ -78,7 +78,7 @@
 func (b *gatewayBuilder) limitStatuses() []limitStatus {
 	out := []limitStatus{}
 	for _, l := range b.gateway.Limits().List() {
-		out = append(out, limitStatus{Upstream: l.Upstream, Rate: l.Rate, Since: l.Since, Named: l.Named, Granter: l.Granter})
+		out = append(out, limitStatus{Upstream: l.Upstream, Rate: l.Rate, Since: l.Since, Named: l.AdvertisedAt, Granter: l.Granter})
 	}
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -116,7 +116,7 @@
 	// after which an entry must not be relied on.
 	Told func() (told, silence time.Duration)
 	// Limits is how entries share the capacity of rate-limited upstreams.
-	Limits limits.Others
+	Limits limits.Peers
 }
 
 // New returns a Gateway.
@@ -214,7 +214,7 @@
 // among the reachable entries, whichever are more.
 func (g *Gateway) Registered(registered int) {
 	g.entriesListed.Store(true)
-	g.limits.Listed(registered)
+	g.limits.SetEntryCount(registered)
 	reachable := len(g.peers.Heard()) + 1
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -231,7 +231,7 @@
 	defer g.mu.Unlock()
 	if reachable > g.entries {
 		g.setEntries(reachable)
-		g.limits.Listed(reachable)
+		g.limits.SetEntryCount(reachable)
 	}
 	for _, b := range g.budgets {
 		b.SetMessageTimes(deliveryTime, silenceLimit)
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -216,7 +216,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		limited.serve(w, r)
 	})
-	f.gateway.limits.Named("limited", 5)
+	f.gateway.limits.NoteLimit("limited", 5)
 	// Uses up the permits that may be granted now.
 	for f.gateway.limits.Take(t.Context(), "limited") == nil {
 	}
@@ -236,7 +236,7 @@
 // upstream.
 func TestHedgesSkipLimitedUpstreams(t *testing.T) {
 	f := newFixture(t)
-	f.gateway.limits.Named("a", 1000)
+	f.gateway.limits.NoteLimit("a", 1000)
 	if got := f.gateway.excludeLimited(map[string]bool{"b": true}); !got["a"] || !got["b"] {
 		t.Errorf("excluded are %v, want a and b", got)
 	}
@@ -252,7 +252,7 @@
 		b.Run(tc.name, func(b *testing.B) {
 			g, s := crowdedGateway(100)
 			for i := range tc.limited {
-				g.limits.Named(g.fleet.Available(s.rq.service.Name)[i].ID, 0.1)
+				g.limits.NoteLimit(g.fleet.Available(s.rq.service.Name)[i].ID, 0.1)
 			}
 			for b.Loop() {
 				_, _ = s.admit(b.Context(), nil)
@@ -294,7 +294,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.add("app", "a", tc.serve)
-			f.gateway.limits.Named("a", 1000)
+			f.gateway.limits.NoteLimit("a", 1000)
 			time.Sleep(100 * time.Millisecond)
 			f.ask(pathOnce)
 			if over := !f.gateway.limits.Any(); over != tc.over {
@@ -324,7 +324,7 @@
 func TestMovedGenerationNeedsAPermit(t *testing.T) {
 	f := newFixture(t)
 	f.add("llm", "e", serveOK)
-	f.gateway.limits.Named("e", 0.1)
+	f.gateway.limits.NoteLimit("e", 0.1)
 	at, _ := f.gateway.fleet.Get("e")
 	rq := &request{route: &routetable.Route{}, service: &routetable.Service{Name: "llm"}, run: newQuarantineRun(), start: time.Now()}
 	s := &stream{g: f.gateway, rq: rq, copies: []heldCopy{{at: at}}}
@@ -339,7 +339,7 @@
 	f := newFixture(t)
 	f.addEngine("limited")
 	f.addEngine("free")
-	f.gateway.limits.Named("limited", 100)
+	f.gateway.limits.NoteLimit("limited", 100)
 	s := &stream{g: f.gateway, rq: &request{service: &routetable.Service{Name: "llm", Engine: &routetable.Engine{Slots: 8, MemoryTokens: 100000, EventTokens: 4}}}}
 	for range 20 {
 		if u, ok := f.gateway.chooseTarget(s, fleet.Upstream{}, nil); !ok || u.ID != "free" {
@@ -354,14 +354,14 @@
 	f := newFixture(t)
 	var sent []string
 	others := limits.Alone()
-	others.Heard = func() []limits.Entry { return []limits.Entry{{Name: "b", Life: "1"}} }
+	others.LivePeers = func() []limits.Entry { return []limits.Entry{{Name: "b", Life: "1"}} }
 	others.Send = func(to string, _ limits.Message) { sent = append(sent, to) }
 	f.gateway.limits = limits.New("a", "1", others, events.Nop(), time.Now)
-	f.gateway.limits.Hear("b", limits.Message{Life: "1"}, time.Now())
+	f.gateway.limits.Receive("b", limits.Message{Life: "1"}, time.Now())
 	f.gateway.Drain(time.Now().Add(time.Hour))
 	for i := range 8 {
 		start := fmt.Sprint("u", i)
-		f.gateway.limits.Named(start, 1)
+		f.gateway.limits.NoteLimit(start, 1)
 		if err := f.gateway.limits.Take(t.Context(), start); !errors.Is(err, limits.ErrNoAnswer) {
 			t.Errorf("%s: %v, want ErrNoAnswer after asking b", start, err)
 		}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if !g.applyStatedLimit(rq.call.ID, upstream, h.header) && h.complete {
-		g.limits.Unnamed(upstream.ID, h.sentAt)
+		g.limits.NoteNoLimit(upstream.ID, h.sentAt)
 	}
 }
 
@@ -41,7 +41,7 @@
 		g.rec.Note(events.LimitRejected, requestID, "upstream", upstream.ID, "error", err)
 		return true
 	case limit.Named:
-		g.limits.Named(upstream.ID, limit.Rate)
+		g.limits.NoteLimit(upstream.ID, limit.Rate)
 		return true
 	default:
 		return false
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -40,7 +40,7 @@
 	g.stopNoticedAt.Store(g.now().Add(NoticeTime))
 	g.stopBy.Store(last)
 	time.AfterFunc(end.Add(-AnswerSpare).Sub(g.now()), g.GiveUp)
-	g.limits.Leave()
+	g.limits.StopGranting()
 	g.peers.Urge()
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -39,9 +39,9 @@
 
 func newNode(c *clock, name, incarnation string) *node {
 	n := &node{conn: &recordingConn{}}
-	n.limits = limits.New(name, incarnation, limits.Others{
-		Heard: func() []limits.Entry { return n.Heard() }, Send: func(to string, m limits.Message) { n.Send(to, m) },
-		Urge: func() {}, Told: func() time.Duration { return time.Second }, Way: func() time.Duration { return 0 },
+	n.limits = limits.New(name, incarnation, limits.Peers{
+		LivePeers: func() []limits.Entry { return n.Heard() }, Send: func(to string, m limits.Message) { n.Send(to, m) },
+		Broadcast: func() {}, BroadcastTime: func() time.Duration { return time.Second }, RoundTrip: func() time.Duration { return 0 },
 	}, events.Nop(), c.now)
 	n.Node = New(Settings{Name: name, Life: incarnation, Every: time.Second, Forget: 3 * time.Second, Rate: 100}, n.conn,
 		func() State { return n.state }, func(_ string, s State) { n.received = s }, n.limits, events.Nop(), c.now)
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -76,7 +76,7 @@
 	if b.From == "" || b.From == n.settings.Name {
 		return fmt.Errorf("%w: the sender is missing or is this entry", ErrMessage)
 	}
-	n.limits.Hear(b.From, b.Message, n.sentNotBefore(d.Echo))
+	n.limits.Receive(b.From, b.Message, n.sentNotBefore(d.Echo))
 	return nil
 }
 
--- a/internal/gossip/limits_test.go
+++ b/internal/gossip/limits_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	expect("no limit", a, b, 1)
-	a.limits.Named("u", 3.2)
+	a.limits.NoteLimit("u", 3.2)
 	expect("new limit", a, b, 2)
 	expect("limit that b has just received", b, a, 2)
 	if got := b.limits.Rate("u"); got != 3.2 {
@@ -59,7 +59,7 @@
 
 	restarted := newNode(c, "b", "2")
 	deliver(t, restarted, a)
-	restarted.limits.Named("u", 3.2)
+	restarted.limits.NoteLimit("u", 3.2)
 	c.at = c.at.Add(time.Minute)
 	expect("b has restarted and sent no limit message to a", a, restarted, 2)
 	expect("a asks for a confirmation", restarted, a, 2)
@@ -133,7 +133,7 @@
 	a, b := newNode(c, "front-zone-a-13", "73b131248192"), newNode(c, "front-zone-a-17", "cdd8feadaaac")
 	deliver(t, a, b)
 	deliver(t, b, a)
-	a.limits.Named("i-7f3a91c2e0@mx76mb10", 3.2)
+	a.limits.NoteLimit("i-7f3a91c2e0@mx76mb10", 3.2)
 	sendRound(t, a, b)
 	sendRound(t, b, a)
 	for range 2 {
--- a/internal/gossip/rig_test.go
+++ b/internal/gossip/rig_test.go
@@ -114,9 +114,9 @@
 		rig: r, name: fmt.Sprintf("e%04d", i), inbox: make(chan rigDatagram, rigQueueLength), started: time.Now(),
 		entry: roster.Entry{Address: address, Relay: address, Zone: fmt.Sprint("z", i%rigZones), Size: size},
 	}
-	set := limits.New(e.name, "1", limits.Others{
-		Heard: func() []limits.Entry { return e.node.Heard() }, Send: func(to string, m limits.Message) { e.node.Send(to, m) },
-		Urge: func() {}, Told: func() time.Duration { return time.Second }, Way: func() time.Duration { return 0 },
+	set := limits.New(e.name, "1", limits.Peers{
+		LivePeers: func() []limits.Entry { return e.node.Heard() }, Send: func(to string, m limits.Message) { e.node.Send(to, m) },
+		Broadcast: func() {}, BroadcastTime: func() time.Duration { return time.Second }, RoundTrip: func() time.Duration { return 0 },
 	}, events.Nop(), time.Now)
 	timing := rigSettings(e.name, e.entry, "1")
 	timing.Every = max(timing.Every, r.every)
--- a/internal/limits/grant.go
+++ b/internal/limits/grant.go
@@ -34,8 +34,8 @@
 	at     time.Time
 }
 
-// Hear processes a message of another entry. It was not sent before sent, which is zero if unknown.
-func (s *Set) Hear(from string, m Message, sent time.Time) {
+// Receive processes a message of another entry. It was not sent before sent, which is zero if unknown.
+func (s *Set) Receive(from string, m Message, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -124,7 +124,7 @@
 	case l.bucket == nil:
 		// The previous granter goes on until it learns that this entry knows of the limit. The
 		// permits that it grants count as well, so the bucket starts empty.
-		l.grantsFrom = s.now().Add(s.others.Told())
+		l.grantsFrom = s.now().Add(s.others.BroadcastTime())
 		perSecond, burst := s.grantRate(l)
 		l.bucket = rate.NewLimiter(perSecond, burst)
 		l.bucket.AllowN(l.grantsFrom, burst)
@@ -173,15 +173,15 @@
 	return perSecond, 1 + int(math.Ceil(float64(perSecond)*burstWindow.Seconds()))
 }
 
-// share returns the share of a limit that the entries which hear each other may use. Each side of a
-// network partition has a granter of its own. Only the side with the majority of the entries has
-// the whole limit; any other side has the fraction of all entries that it holds. The caller must
-// hold s.mu.
+// share returns the share of a limit that the entries which receive each other's messages may use.
+// Each side of a network partition has a granter of its own. Only the side with the majority of the
+// entries has the whole limit; any other side has the fraction of all entries that it holds. The
+// caller must hold s.mu.
 func (s *Set) share() float64 {
 	if s.entryCount == 0 {
 		return 0
 	}
-	heard := len(s.others.Heard()) + 1
+	heard := len(s.others.LivePeers()) + 1
 	if 2*heard > s.entryCount {
 		return 1
 	}
--- a/internal/limits/grant_test.go
+++ b/internal/limits/grant_test.go
@@ -24,16 +24,16 @@
 	for _, other := range others {
 		heard = append(heard, Entry{Name: other, Life: "1"})
 	}
-	s := New(name, "1", Others{
-		Heard: func() []Entry { return heard },
+	s := New(name, "1", Peers{
+		LivePeers: func() []Entry { return heard },
 		Send: func(to string, m Message) {
 			p.to, p.messages = append(p.to, to), append(p.messages, m)
 		},
-		Urge: func() {}, Told: func() time.Duration { return spreadTime }, Way: func() time.Duration { return 0 },
+		Broadcast: func() {}, BroadcastTime: func() time.Duration { return spreadTime }, RoundTrip: func() time.Duration { return 0 },
 	}, events.Nop(), c.now)
-	s.Listed(len(others) + 1)
+	s.SetEntryCount(len(others) + 1)
 	for _, other := range others {
-		s.Hear(other, Message{Life: "1", Knows: "1"}, c.at)
+		s.Receive(other, Message{Life: "1", Knows: "1"}, c.at)
 	}
 	return s
 }
@@ -63,7 +63,7 @@
 func TestNewGranterWaitsAndStartsEmpty(t *testing.T) {
 	c := &clock{at: time.Now()}
 	s := newWithPeers(c, "a", &outbox{})
-	s.Named("u", 10)
+	s.NoteLimit("u", 10)
 	if n := takeAll(t, s); n != 0 {
 		t.Errorf("%d permits at once, want none", n)
 	}
@@ -97,8 +97,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := &clock{at: time.Now()}
 			s := newWithPeers(c, "a", &outbox{})
-			s.Listed(tc.listed)
-			s.Named("u", tc.rate)
+			s.SetEntryCount(tc.listed)
+			s.NoteLimit("u", tc.rate)
 			got := takeAll(t, s)
 			c.advance(spreadTime)
 			for end := c.at.Add(lasts); c.at.Before(end); c.advance(50 * time.Millisecond) {
@@ -119,7 +119,7 @@
 	ask := func(id uint64, start string) Answer {
 		t.Helper()
 		w := encodeObservation(Observation{Start: start, Rate: 1, AdvertisedAt: c.at}, c.at)
-		s.Hear("c", Message{Question: &Question{ID: id, Word: w}}, c.at)
+		s.Receive("c", Message{Question: &Question{ID: id, Word: w}}, c.at)
 		return *p.messages[len(p.messages)-1].Answer
 	}
 	if a := ask(1, other); a.Granted || a.WaitUS != wrongGranterDelay.Microseconds() {
@@ -140,9 +140,9 @@
 	if a := ask(4, own); a.Granted || a.WaitUS <= 0 {
 		t.Errorf("answered %+v, want a time to wait", a)
 	}
-	s.Unnamed(own, c.at.Add(time.Millisecond))
+	s.NoteNoLimit(own, c.at.Add(time.Millisecond))
 	c.advance(10 * time.Millisecond)
-	s.Hear("c", Message{Question: &Question{ID: 5, Word: encodeObservation(Observation{Start: own, Rate: 1, AdvertisedAt: c.at.Add(-time.Second)}, c.at)}}, c.at)
+	s.Receive("c", Message{Question: &Question{ID: 5, Word: encodeObservation(Observation{Start: own, Rate: 1, AdvertisedAt: c.at.Add(-time.Second)}, c.at)}}, c.at)
 	if a := p.messages[len(p.messages)-1].Answer; !a.Granted || a.Word.OverAgeUS == neverAge {
 		t.Errorf("answered %+v, want that the limit is lifted", a)
 	}
@@ -154,7 +154,7 @@
 	p := &outbox{}
 	s := newWithPeers(c, "a", p, "b")
 	start := startGrantedBy(s, "b")
-	s.Named(start, 1)
+	s.NoteLimit(start, 1)
 	if err := s.Take(t.Context(), start); err == nil || len(p.messages) != 2 {
 		t.Errorf("%v after %d questions, want an error after two", err, len(p.messages))
 	}
@@ -172,12 +172,12 @@
 	c := &clock{at: time.Now()}
 	s := newWithPeers(c, "a", &outbox{}, "b")
 	start := startGrantedBy(s, "a")
-	s.Leave()
+	s.StopGranting()
 	if got := s.granterOf(start, &limit{}); got != "b" {
 		t.Errorf("%s grants, want b", got)
 	}
 	alone := newWithPeers(c, "a", &outbox{})
-	alone.Leave()
+	alone.StopGranting()
 	if got := alone.granterOf(start, &limit{}); got != "a" {
 		t.Errorf("%s grants, want a: there is no other entry", got)
 	}
@@ -251,9 +251,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := &clock{at: time.Now()}
 			others := Alone()
-			others.Heard = func() []Entry { return []Entry{tc.b} }
+			others.LivePeers = func() []Entry { return []Entry{tc.b} }
 			s := New("a", "1", others, events.Nop(), c.now)
-			s.Hear("b", Message{Life: tc.sentLife}, c.at)
+			s.Receive("b", Message{Life: tc.sentLife}, c.at)
 			granted := false
 			for i := range 64 {
 				granted = granted || s.granterOf(fmt.Sprint("u", i), &limit{}) == "b"
@@ -269,7 +269,7 @@
 	c := &clock{at: time.Now()}
 	s := newWithPeers(c, "a", &outbox{}, "b")
 	for i := range 3 * maxPeers {
-		s.Hear(fmt.Sprint("entry-", i), Message{Life: "1"}, c.at)
+		s.Receive(fmt.Sprint("entry-", i), Message{Life: "1"}, c.at)
 	}
 	if len(s.peers) > maxPeers || s.peers["b"] == nil {
 		t.Errorf("%d entries are kept, want at most %d with the one that is heard", len(s.peers), maxPeers)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -4,10 +4,10 @@
 // and the time in which the entries do not agree on who grants permits.
 //
 // For each start of an upstream, one entry grants the permits from a token bucket: the granter,
-// which has the highest rendezvous hash among the entries that hear each other. Fixed shares for
-// each entry do not work if hundreds of entries share a few requests a second: a share is too small
-// to use, or the total is too large if each entry may send a request at any moment. No messages are
-// sent while no upstream advertises a limit.
+// which has the highest rendezvous hash among the entries that receive each other's messages. Fixed
+// shares for each entry do not work if hundreds of entries share a few requests a second: a share is
+// too small to use, or the total is too large if each entry may send a request at any moment. No
+// messages are sent while no upstream advertises a limit.
 package limits
 
 import (
@@ -23,19 +23,20 @@
 	"github.com/sparshore/sparshore/internal/events"
 )
 
-// Others connects a Set to the other entries of the deployment. The functions are called with the
+// Peers connects a Set to the other entries of the deployment. The functions are called with the
 // Set locked and must not call it.
-type Others struct {
-	// Heard returns the entries that are heard or fell silent only recently.
-	Heard func() []Entry
+type Peers struct {
+	// LivePeers returns the entries whose messages arrive, including those that became silent
+	// only recently.
+	LivePeers func() []Entry
 	// Send sends a message to an entry. The message may be lost.
 	Send func(to string, m Message)
-	// Urge requests an immediate round of messages to all other entries.
-	Urge func()
-	// Told returns the time within which a round requested with Urge reaches all entries.
-	Told func() time.Duration
-	// Way returns the usual round-trip time of a message.
-	Way func() time.Duration
+	// Broadcast requests an immediate round of messages to all other entries.
+	Broadcast func()
+	// BroadcastTime returns the time within which a round requested with Broadcast reaches all entries.
+	BroadcastTime func() time.Duration
+	// RoundTrip returns the usual round-trip time of a message.
+	RoundTrip func() time.Duration
 }
 
 // Set holds the limits in force, by upstream start, and grants permits or asks the granter for
@@ -44,7 +45,7 @@
 	// name is the name of this entry, and life identifies its current start.
 	name   string
 	life   string
-	others Others
+	others Peers
 	rec    *events.Recorder
 	now    func() time.Time
 	// inForceCount is the number of limits in force. While it is 0, permits need no lock.
@@ -105,7 +106,7 @@
 func (l *limit) inForce() bool { return !l.advertisedAt.IsZero() && !l.noLimitAt.After(l.advertisedAt) }
 
 // New returns a Set without limits for one start of an entry, which life identifies.
-func New(name, life string, others Others, rec *events.Recorder, now func() time.Time) *Set {
+func New(name, life string, others Peers, rec *events.Recorder, now func() time.Time) *Set {
 	return &Set{
 		name: name, life: life, peers: map[string]*peer{}, others: others, rec: rec, now: now, limits: map[string]*limit{},
 		// A question of an earlier start of this entry must not be taken for one of this start.
@@ -116,15 +117,15 @@
 // Any reports whether any limit is in force.
 func (s *Set) Any() bool { return s.inForceCount.Load() > 0 }
 
-// Listed sets the number of entries in the list of entries.
-func (s *Set) Listed(n int) {
+// SetEntryCount sets the number of entries in the list of entries.
+func (s *Set) SetEntryCount(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entryCount = n
 }
 
-// Leave makes another entry grant permits, if there is one, because this entry stops.
-func (s *Set) Leave() {
+// StopGranting makes another entry grant permits, if there is one, because this entry stops.
+func (s *Set) StopGranting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopping = true
@@ -159,10 +160,10 @@
 	// Upstream is the start of the upstream, and Rate its limit in requests a second.
 	Upstream string
 	Rate     float64
-	// Since is when this entry learned of the limit, and Named when the upstream is last known to
+	// Since is when this entry learned of the limit, and AdvertisedAt when the upstream is last known to
 	// have advertised it.
-	Since time.Time
-	Named time.Time
+	Since        time.Time
+	AdvertisedAt time.Time
 	// Granter is the entry that grants permits, as of the latest request; empty if there was none
 	// yet.
 	Granter string
@@ -175,15 +176,15 @@
 	var out []State
 	for start, l := range s.limits {
 		if l.inForce() {
-			out = append(out, State{Upstream: start, Rate: l.rate, Since: l.since, Named: l.advertisedAt, Granter: l.granter})
+			out = append(out, State{Upstream: start, Rate: l.rate, Since: l.since, AdvertisedAt: l.advertisedAt, Granter: l.granter})
 		}
 	}
 	slices.SortFunc(out, func(a, b State) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return out
 }
 
-// Named records that an answer of an upstream start advertised a limit in requests a second.
-func (s *Set) Named(start string, perSecond float64) {
+// NoteLimit records that an answer of an upstream start advertised a limit in requests a second.
+func (s *Set) NoteLimit(start string, perSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -195,9 +196,9 @@
 // ownAnswer is the logged source of limits that this entry read in an answer itself.
 const ownAnswer = "own answer"
 
-// Unnamed records that a complete answer of an upstream start advertised no limit; sent is when its
+// NoteNoLimit records that a complete answer of an upstream start advertised no limit; sent is when its
 // request was sent.
-func (s *Set) Unnamed(start string, sent time.Time) {
+func (s *Set) NoteNoLimit(start string, sent time.Time) {
 	if !s.Any() {
 		return
 	}
@@ -285,10 +286,10 @@
 // rowReadWithin is the time within which the row of a start is read, even while the store is slow.
 const rowReadWithin = 10 * time.Second
 
-// Alone returns the Others of a process that is the only sender of requests to its upstreams.
-func Alone() Others {
-	return Others{
-		Heard: func() []Entry { return nil }, Send: func(string, Message) {},
-		Urge: func() {}, Told: func() time.Duration { return 0 }, Way: func() time.Duration { return 0 },
+// Alone returns the Peers of a process that is the only sender of requests to its upstreams.
+func Alone() Peers {
+	return Peers{
+		LivePeers: func() []Entry { return nil }, Send: func(string, Message) {},
+		Broadcast: func() {}, BroadcastTime: func() time.Duration { return 0 }, RoundTrip: func() time.Duration { return 0 },
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -21,19 +21,19 @@
 	advertise := func(rate float64) func(*Set, *clock) {
 		return func(s *Set, c *clock) {
 			c.advance(sent)
-			s.Named("u", rate)
+			s.NoteLimit("u", rate)
 		}
 	}
 	noLimit := func(s *Set, c *clock) {
 		c.advance(time.Millisecond)
 		asked := c.at
 		c.advance(sent)
-		s.Unnamed("u", asked)
+		s.NoteNoLimit("u", asked)
 	}
 	lateNoLimit := func(s *Set, c *clock) {
 		asked := c.at.Add(-time.Second)
 		c.advance(sent)
-		s.Unnamed("u", asked)
+		s.NoteNoLimit("u", asked)
 	}
 	for _, tc := range []struct {
 		name    string
@@ -72,8 +72,8 @@
 func TestLimitsOfRemovedStartsAreDropped(t *testing.T) {
 	c := &clock{at: time.Now()}
 	s := newSingleEntry(c.now)
-	s.Named("u", 3)
-	s.Named("v", 3)
+	s.NoteLimit("u", 3)
+	s.NoteLimit("v", 3)
 	c.advance(rowReadWithin)
 	s.Sweep(func(start string) bool { return start == "v" })
 	if !s.Any() || len(s.limits) != 1 {
@@ -88,7 +88,7 @@
 func TestLimitsAreBounded(t *testing.T) {
 	s := newSingleEntry(time.Now)
 	for i := range maxLimits + 10 {
-		s.Named(fmt.Sprint(i), 1)
+		s.NoteLimit(fmt.Sprint(i), 1)
 	}
 	if len(s.limits) != maxLimits {
 		t.Errorf("%d limits are kept, want at most %d", len(s.limits), maxLimits)
@@ -98,6 +98,6 @@
 // newSingleEntry returns the Set of the only entry of a deployment.
 func newSingleEntry(now func() time.Time) *Set {
 	s := New("a", "1", Alone(), events.Nop(), now)
-	s.Listed(1)
+	s.SetEntryCount(1)
 	return s
 }
--- a/internal/limits/peers.go
+++ b/internal/limits/peers.go
@@ -40,7 +40,7 @@
 // The caller must hold s.mu.
 func (s *Set) dropSilentPeers() {
 	heard := map[string]bool{}
-	for _, e := range s.others.Heard() {
+	for _, e := range s.others.LivePeers() {
 		heard[e.Name] = true
 	}
 	maps.DeleteFunc(s.peers, func(name string, _ *peer) bool { return !heard[name] })
@@ -50,7 +50,7 @@
 // support limits. The caller must hold s.mu.
 func (s *Set) granterCandidates() []string {
 	var out []string
-	for _, e := range s.others.Heard() {
+	for _, e := range s.others.LivePeers() {
 		if !e.Stops && s.supportsLimits(e) {
 			out = append(out, e.Name)
 		}
--- a/internal/limits/permit.go
+++ b/internal/limits/permit.go
@@ -114,7 +114,7 @@
 func (s *Set) ask(ctx context.Context, granter, start string) error {
 	id, answers := s.newQuestion()
 	defer s.dropQuestion(id)
-	resendDelay := max(minResendDelay, resendRoundTrips*s.others.Way())
+	resendDelay := max(minResendDelay, resendRoundTrips*s.others.RoundTrip())
 	resend := time.NewTimer(resendDelay)
 	defer resend.Stop()
 	timeout := time.NewTimer(time.Duration(answerTimeoutFactor * float64(resendDelay)))
--- a/internal/limits/rig_test.go
+++ b/internal/limits/rig_test.go
@@ -116,7 +116,7 @@
 func (r *rig) updateEntryCounts() {
 	all := r.all()
 	for _, e := range all {
-		e.current().Listed(len(all))
+		e.current().SetEntryCount(len(all))
 	}
 }
 
@@ -141,8 +141,8 @@
 	life := e.lastLife
 	e.life = life
 	e.startedAt, e.informedAt, e.ownLimiter, e.roundPending = time.Now(), time.Time{}, nil, false
-	e.set = New(e.name, strconv.Itoa(life), Others{
-		Heard: func() []Entry {
+	e.set = New(e.name, strconv.Itoa(life), Peers{
+		LivePeers: func() []Entry {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			var out []Entry
@@ -162,15 +162,15 @@
 				}
 			}
 		},
-		Urge: func() { e.scheduleRound(life) },
-		Told: func() time.Duration {
+		Broadcast: func() { e.scheduleRound(life) },
+		BroadcastTime: func() time.Duration {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			return rigMaxUrgentDelay + r.interval() + r.roundTrip
 		},
-		Way: func() time.Duration { return r.roundTrip },
+		RoundTrip: func() time.Duration { return r.roundTrip },
 	}, events.Nop(), time.Now)
-	e.set.Listed(len(r.entries))
+	e.set.SetEntryCount(len(r.entries))
 	go e.sendRounds(life)
 }
 
@@ -308,7 +308,7 @@
 		lost := !o.alive(to) || r.minority[e] != r.minority[o]
 		r.mu.Unlock()
 		if !lost {
-			set.Hear(e.name, m, at)
+			set.Receive(e.name, m, at)
 		}
 	})
 }
@@ -377,9 +377,9 @@
 	switch {
 	case !alive:
 	case advertised == 0:
-		set.Unnamed(rigStart, sent)
+		set.NoteNoLimit(rigStart, sent)
 	default:
-		set.Named(rigStart, advertised)
+		set.NoteLimit(rigStart, advertised)
 	}
 }
 
--- a/internal/limits/word.go
+++ b/internal/limits/word.go
@@ -10,7 +10,7 @@
 	// minAnnounceTime is the least time for which a change is sent to all entries. It covers
 	// several messages to each, of which most may be lost.
 	minAnnounceTime = 3 * time.Second
-	// announceRounds is the least number of times Others.Told for which a change is sent. With
+	// announceRounds is the least number of times Peers.BroadcastTime for which a change is sent. With
 	// hundreds of entries, messages are a second apart.
 	announceRounds = 4
 	// maxObservations bounds the observations in one message to about 2 KB.
@@ -30,8 +30,8 @@
 
 // announce sends the latest changes to all other entries. The caller must hold s.mu.
 func (s *Set) announce() {
-	s.announceUntil = s.now().Add(max(minAnnounceTime, announceRounds*s.others.Told()))
-	s.others.Urge()
+	s.announceUntil = s.now().Add(max(minAnnounceTime, announceRounds*s.others.BroadcastTime()))
+	s.others.Broadcast()
 }
 
 // observations returns the most recent observations of this entry, the latest first. The caller
--- a/internal/sidecar/limit.go
+++ b/internal/sidecar/limit.go
@@ -37,7 +37,7 @@
 	l := &upstreamLimiter{header: header, incarnations: incarnations,
 		set:     limits.New("", "", limits.Alone(), rec, now),
 		notices: newNotices(incarnations, rec, now), rec: rec, now: now}
-	l.set.Listed(1)
+	l.set.SetEntryCount(1)
 	return l
 }
 
@@ -48,7 +48,7 @@
 	values := h.Values(l.header)
 	if l.header == "" || len(values) == 0 {
 		if ok {
-			l.set.Unnamed(l.incarnations.current(), sentAt)
+			l.set.NoteNoLimit(l.incarnations.current(), sentAt)
 		}
 		return
 	}
@@ -57,7 +57,7 @@
 		l.rec.Note(events.LimitRejected, "", "error", err)
 		return
 	}
-	l.set.Named(l.incarnations.current(), perSecond)
+	l.set.NoteLimit(l.incarnations.current(), perSecond)
 }
 
 // takePermit takes a permit to send one request. If there is none it returns when to retry.
--- a/internal/sidecar/limit_test.go
+++ b/internal/sidecar/limit_test.go
@@ -165,7 +165,7 @@
 func TestGenerationOverTheRateLimitIsRefused(t *testing.T) {
 	b := newEngineFixture(t, 2, false)
 	limiter := b.server.limiter
-	limiter.set.Named(limiter.incarnations.current(), 0.5)
+	limiter.set.NoteLimit(limiter.incarnations.current(), 0.5)
 	for limiter.set.Take(t.Context(), limiter.incarnations.current()) == nil {
 	}
 	for sub := range int64(3) {
@@ -184,7 +184,7 @@
 func TestQueuedGenerationNeedsAPermit(t *testing.T) {
 	b := newEngineFixture(t, 2, false)
 	limiter := b.server.limiter
-	limiter.set.Named(limiter.incarnations.current(), 0.5)
+	limiter.set.NoteLimit(limiter.incarnations.current(), 0.5)
 	var r generateResult
 	if err := b.conn.Call(t.Context(), methodGenerate, generateParams{Path: "/", Prompt: 10}, &r); err != nil || r.Refused == nil {
 		t.Errorf("answered %+v, %v; want it refused without a permit", r, err)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -239,7 +239,7 @@
 # What limited upstreams take.
 limits=internal/limits
 mutant limits-part $limits/grant.go 's/if 2\*heard > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
-mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
+mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.BroadcastTime\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
 mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(observed\.Start, l\) != s\.name:/case s.granterOf(observed.Start, l) == "":/' $limits TestAnswers
 mutant limits-asked-twice $limits/grant.go 's/if !repeated \{/if _ = repeated; true {/' $limits TestAnswers
 mutant limits-leaves $limits/grant.go 's/s\.stopping && i == 0 \|\| /i < 0 || /' $limits TestStoppingGranterHandsOver
@@ -261,7 +261,7 @@
 mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.excludeLimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPreferUnlimitedEngines
 mutant limits-other-answer $gateway/limits.go 's/if h\.header\.Get\(g\.proto\.IDHeader\) != rq\.call\.ID \{/if h.header == nil {/' $gateway 'TestLimitInAnswerToAnotherRequest|TestAnswersThatEndALimit'
 mutant limits-failure $gateway/limits.go 's/ && h\.complete \{/ {/' $gateway TestAnswersThatEndALimit
-mutant limits-stop $gateway/stop.go 's/\tg\.limits\.Leave\(\)\n//' $gateway TestStoppingEntryHandsOverGranting
+mutant limits-stop $gateway/stop.go 's/\tg\.limits\.StopGranting\(\)\n//' $gateway TestStoppingEntryHandsOverGranting
 mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationWaitsForAPermit
 mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitInHeaders
 mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestRetryTimeOfUpstreamIsObeyed
