--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -254,17 +254,17 @@
 		Name: s.Name, Life: b.incarnation, Zone: s.Zone, RoutesTrusted: s.KeyBound - keyBoundMargin, HardKeyBound: s.KeyBoundHard,
 		RetryRatio: s.RetryRatio * retryBudgetShare, RetryExtra: s.RetryExtra * retryBudgetShare, RetryWindow: s.RetryWindow,
 	}, b.routes, b.fleet, b.pool, proto, gateway.Others{
-		Nudge: func() { b.gossip.Nudge() },
+		Nudge: func() { b.gossip.SendSoon() },
 		Heard: func() map[string]gossip.Peer { return b.gossip.Peers() },
-		Urge:  func() { b.gossip.Urge() },
+		Urge:  func() { b.gossip.SendNow() },
 		Delay: func(zone string, nudged bool) time.Duration { return b.gossip.Delay(zone, nudged) },
-		Told:  func() (told, silence time.Duration) { return b.gossip.Told() },
+		Told:  func() (told, silence time.Duration) { return b.gossip.DeliveryTime() },
 		Limits: limits.Peers{
-			LivePeers:     func() []limits.Entry { return b.gossip.Heard() },
+			LivePeers:     func() []limits.Entry { return b.gossip.LivePeers() },
 			Send:          func(to string, m limits.Message) { b.gossip.Send(to, m) },
-			Broadcast:     func() { b.gossip.UrgeEach() },
-			BroadcastTime: func() time.Duration { return b.gossip.ToldEach() },
-			RoundTrip:     func() time.Duration { return b.gossip.Way() },
+			Broadcast:     func() { b.gossip.Broadcast() },
+			BroadcastTime: func() time.Duration { return b.gossip.BroadcastTime() },
+			RoundTrip:     func() time.Duration { return b.gossip.RoundTrip() },
 		},
 	}, b.rec, b.reg, time.Now)
 	b.gateway.Quarantine().SetName(s.Name)
--- a/internal/daemon/gatewaymetrics.go
+++ b/internal/daemon/gatewaymetrics.go
@@ -15,7 +15,7 @@
 		return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 { return value(stats()) })
 	}
 	reg.MustRegister(
-		gauge("sparshore_gateway_entries_heard", "Other entries that this entry receives gossip from.", func(s gossip.Stats) float64 { return float64(s.Heard) }),
+		gauge("sparshore_gateway_entries_heard", "Other entries that this entry receives gossip from.", func(s gossip.Stats) float64 { return float64(s.Live) }),
 		gauge("sparshore_gateway_entries_silent", "Other entries that are listed or sent gossip before, and that this entry receives no gossip from.", func(s gossip.Stats) float64 { return float64(s.Silent) }),
 		gauge("sparshore_gateway_delegate", "1 while this entry forwards urgent gossip messages of other entries.", func(s gossip.Stats) float64 {
 			if s.Delegate {
@@ -23,7 +23,7 @@
 			}
 			return 0
 		}),
-		counter("sparshore_gateway_passed_on_total", "Messages with which this entry forwarded urgent gossip of other entries.", func(s gossip.Stats) float64 { return float64(s.PassedOn) }),
-		counter("sparshore_gateway_not_passed_on_total", "Times that no delegate forwarded urgent gossip of this entry in time.", func(s gossip.Stats) float64 { return float64(s.NotPassedOn) }),
+		counter("sparshore_gateway_passed_on_total", "Messages with which this entry forwarded urgent gossip of other entries.", func(s gossip.Stats) float64 { return float64(s.Forwarded) }),
+		counter("sparshore_gateway_not_passed_on_total", "Times that no delegate forwarded urgent gossip of this entry in time.", func(s gossip.Stats) float64 { return float64(s.NotForwarded) }),
 	)
 }
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -28,8 +28,8 @@
 				return nil, fmt.Errorf("--gossip-listen: %w", err)
 			}
 			b.gossip = gossip.New(gossip.Settings{
-				Name: b.settings.Name, Zone: b.settings.Zone, Entry: b.ownEntry(), Life: b.incarnation,
-				Every: gossipInterval, Least: gossipIntervalMin, Urgent: gossipUrgentIntervalMin, Rate: gossipRate, UrgentRate: gossipUrgentRate, Forget: gossipPeerTimeout,
+				Name: b.settings.Name, Zone: b.settings.Zone, Entry: b.ownEntry(), Incarnation: b.incarnation,
+				Interval: gossipInterval, MinInterval: gossipIntervalMin, UrgentInterval: gossipUrgentIntervalMin, Rate: gossipRate, UrgentRate: gossipUrgentRate, SilenceTimeout: gossipPeerTimeout,
 			}, conn, b.ownState, b.applyPeerState, b.gateway.Limits(), b.rec, time.Now)
 			registerGossipMetrics(b.reg, b.gossip.Stats)
 			return b.gossip, nil
@@ -54,7 +54,7 @@
 }
 
 // liveEntries returns the number of other entries that this entry receives gossip from.
-func (b *gatewayBuilder) liveEntries() int { return len(b.gossip.Heard()) }
+func (b *gatewayBuilder) liveEntries() int { return len(b.gossip.LivePeers()) }
 
 // relayPeers returns the entries that can be asked for tables. This includes listed entries that
 // have not sent gossip yet, so that a starting entry need not read the tables from the store.
@@ -81,7 +81,7 @@
 
 // applyEntryList applies the list of entries that was read.
 func (b *gatewayBuilder) applyEntryList(listed map[string]roster.Entry) {
-	b.gossip.Know(listed)
+	b.gossip.SetListed(listed)
 	if _, own := listed[b.settings.Name]; own {
 		b.gateway.Registered(len(listed))
 	}
@@ -140,7 +140,7 @@
 // applyPeerState applies the state that another gateway gossiped.
 func (b *gatewayBuilder) applyPeerState(from string, s gossip.State) {
 	b.gateway.PeerLoad(from, s.Loads)
-	b.gateway.PeerRetryUse(from, s.Retries, s.HeardUs)
+	b.gateway.PeerRetryUse(from, s.Retries, s.LastReceived)
 	b.fleet.PeerFaults(from, s.Faults)
 	b.fleet.PeerFailures(from, s.Failures)
 	b.gateway.Quarantine().Merge(from, s.Suspects)
--- a/internal/gossip/badinput_test.go
+++ b/internal/gossip/badinput_test.go
@@ -120,7 +120,7 @@
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
 	deliver(t, b, a)
 	a.receiveDatagram(newDatagram(t, formatBundle, bundleBody{From: "b", Silent: []wireSilent{{Name: "b", Life: "1"}, {Name: "a", Life: "1"}, {Name: "ghost"}}}), senderAddr)
-	c.at = c.at.Add(a.settings.Every)
+	c.at = c.at.Add(a.settings.Interval)
 	a.send(near, far)
 	if len(a.Peers()) != 1 {
 		t.Error("an entry became silent one regular interval after its message")
@@ -147,7 +147,7 @@
 func bodyWithSuspects(tb testing.TB) []byte {
 	tb.Helper()
 	now := time.Now()
-	_, b, err := encodeBody(Settings{Name: "b", Life: "1"}, State{Suspects: []quarantine.Report{{Crashes: map[string]time.Time{"e": now}}}}, time.Second, now)
+	_, b, err := encodeBody(Settings{Name: "b", Incarnation: "1"}, State{Suspects: []quarantine.Report{{Crashes: map[string]time.Time{"e": now}}}}, time.Second, now)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/gossip/bundle.go
+++ b/internal/gossip/bundle.go
@@ -141,13 +141,13 @@
 func (n *Node) noteOwnForwarded(m message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if m.body.Life == n.settings.Life && m.body.Sent > n.ownForwarded {
+	if m.body.Life == n.settings.Incarnation && m.body.Sent > n.ownForwarded {
 		n.ownForwarded, n.forwardLag = m.body.Sent, n.now().Sub(n.start)-time.Duration(m.body.Sent)
 	}
 }
 
 // storeForwarded stores a forwarded state if it is newer than the stored one of its entry, and queues
-// it for the next hop. Routes, Confirmed and HeardUs keep their values: only a datagram that comes
+// it for the next hop. Routes, Confirmed and LastReceived keep their values: only a datagram that comes
 // from the entry itself proves the age of its routes and when it last received a message of this one.
 func (n *Node) storeForwarded(m message, hop int, update stateUpdate) (s State, newer bool) {
 	n.mu.Lock()
@@ -157,7 +157,7 @@
 		return State{}, false
 	}
 	s = m.state(update.made)
-	s.Routes, s.Confirmed, s.HeardUs = p.State.Routes, p.State.Confirmed, p.State.HeardUs
+	s.Routes, s.Confirmed, s.LastReceived = p.State.Routes, p.State.Confirmed, p.State.LastReceived
 	p.State, p.newestSent = s, m.body.Sent
 	if hop == toZone {
 		return s, true
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -45,7 +45,7 @@
 	limitMessages := n.limits.Round(n.limitEntries)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if now.Sub(n.delegatesUpdated) >= n.settings.Every {
+	if now.Sub(n.delegatesUpdated) >= n.settings.Interval {
 		n.updateDelegates(now)
 	}
 	for name, p := range n.peers {
@@ -126,7 +126,7 @@
 		s.Confirmed = n.start.Add(time.Duration(m.echo.Sent) - time.Duration(m.body.AgeMS)*time.Millisecond)
 	}
 	if n.echoesOwn(m) {
-		s.HeardUs = n.start.Add(time.Duration(m.echo.Sent))
+		s.LastReceived = n.start.Add(time.Duration(m.echo.Sent))
 	}
 	if n.storeState(m, s, addr, now) {
 		n.received(m.body.From, s)
@@ -167,5 +167,5 @@
 
 // echoesOwn reports whether a message echoes a message of this incarnation.
 func (n *Node) echoesOwn(m message) bool {
-	return m.echo.Sent > 0 && m.echo.Life == n.settings.Life
+	return m.echo.Sent > 0 && m.echo.Life == n.settings.Incarnation
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -25,14 +25,14 @@
 	rec      *events.Recorder
 	now      func() time.Time
 	start    time.Time
-	// The channels wake the loops of the Node. nudged and urgedEach request a round of messages to all
-	// peers, see Nudge and UrgeEach. urged requests that the own state is spread, greetDue that the
-	// entries in greet get a message, and forwardDue that the outbox is sent.
-	nudged     chan struct{}
-	urged      chan struct{}
-	urgedEach  chan struct{}
-	greetDue   chan struct{}
-	forwardDue chan struct{}
+	// The channels wake the loops of the Node. soonRequested and broadcastRequested request a round of
+	// messages to all peers, see SendSoon and Broadcast. spreadRequested requests that the own state is
+	// spread, greetDue that the entries in greet get a message, and forwardDue that the outbox is sent.
+	soonRequested      chan struct{}
+	spreadRequested    chan struct{}
+	broadcastRequested chan struct{}
+	greetDue           chan struct{}
+	forwardDue         chan struct{}
 
 	mu    sync.Mutex
 	peers map[string]*peer
@@ -63,21 +63,21 @@
 func New(settings Settings, conn net.PacketConn, collect func() State, received func(from string, s State), limitSet *limits.Set, rec *events.Recorder, now func() time.Time) *Node {
 	return &Node{
 		settings: settings, conn: conn, collect: collect, received: received, limits: limitSet, rec: rec, now: now, start: now(),
-		nudged: make(chan struct{}, 1), urged: make(chan struct{}, 1), urgedEach: make(chan struct{}, 1), greetDue: make(chan struct{}, 1), forwardDue: make(chan struct{}, 1),
+		soonRequested: make(chan struct{}, 1), spreadRequested: make(chan struct{}, 1), broadcastRequested: make(chan struct{}, 1), greetDue: make(chan struct{}, 1), forwardDue: make(chan struct{}, 1),
 		peers: map[string]*peer{}, greet: map[string]bool{}, outbox: newOutbox(),
 	}
 }
 
-// Nudge requests a round of messages to all peers as soon as Settings.Least allows, because the own
+// SendSoon requests a round of messages to all peers as soon as Settings.MinInterval allows, because the own
 // state changed in a way that the other entries should act on.
-func (n *Node) Nudge() { signal(n.nudged) }
+func (n *Node) SendSoon() { signal(n.soonRequested) }
 
-// Urge spreads the own state to all entries at once. It is for changes without which the other entries
+// SendNow spreads the own state to all entries at once. It is for changes without which the other entries
 // would make wrong decisions.
-func (n *Node) Urge() { signal(n.urged) }
+func (n *Node) SendNow() { signal(n.spreadRequested) }
 
-// UrgeEach requests a round of direct messages to all peers as soon as Settings.Urgent allows.
-func (n *Node) UrgeEach() { signal(n.urgedEach) }
+// Broadcast requests a round of direct messages to all peers as soon as Settings.UrgentInterval allows.
+func (n *Node) Broadcast() { signal(n.broadcastRequested) }
 
 // signal wakes the receiver of a channel with a buffer of one; it does not block.
 func signal(c chan struct{}) {
@@ -107,10 +107,10 @@
 		t := time.NewTimer(s.next(n.settings, counts).Sub(now))
 		select {
 		case <-ctx.Done():
-		case <-n.nudged:
-			s.request(nudge)
-		case <-n.urgedEach:
-			s.request(urge)
+		case <-n.soonRequested:
+			s.request(soon)
+		case <-n.broadcastRequested:
+			s.request(urgent)
 		case <-n.greetDue:
 			n.sendGreetings()
 		case <-t.C:
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -40,10 +40,10 @@
 func newNode(c *clock, name, incarnation string) *node {
 	n := &node{conn: &recordingConn{}}
 	n.limits = limits.New(name, incarnation, limits.Peers{
-		LivePeers: func() []limits.Entry { return n.Heard() }, Send: func(to string, m limits.Message) { n.Send(to, m) },
+		LivePeers: func() []limits.Entry { return n.LivePeers() }, Send: func(to string, m limits.Message) { n.Send(to, m) },
 		Broadcast: func() {}, BroadcastTime: func() time.Duration { return time.Second }, RoundTrip: func() time.Duration { return 0 },
 	}, events.Nop(), c.now)
-	n.Node = New(Settings{Name: name, Life: incarnation, Every: time.Second, Forget: 3 * time.Second, Rate: 100}, n.conn,
+	n.Node = New(Settings{Name: name, Incarnation: incarnation, Interval: time.Second, SilenceTimeout: 3 * time.Second, Rate: 100}, n.conn,
 		func() State { return n.state }, func(_ string, s State) { n.received = s }, n.limits, events.Nop(), c.now)
 	return n
 }
@@ -51,7 +51,7 @@
 // deliver sends one message from a to b.
 func deliver(t *testing.T, a, b *node) {
 	t.Helper()
-	a.Know(map[string]roster.Entry{b.settings.Name: {Address: "127.0.0.1:9"}})
+	a.SetListed(map[string]roster.Entry{b.settings.Name: {Address: "127.0.0.1:9"}})
 	a.conn.sent = nil
 	a.send(near, far)
 	if len(a.conn.sent) != 1 {
@@ -87,7 +87,7 @@
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
 	deliver(t, a, b)
 	b.state = State{Routes: 7, Confirmed: c.at}
-	b.Know(map[string]roster.Entry{"a": {Address: "127.0.0.1:9"}})
+	b.SetListed(map[string]roster.Entry{"a": {Address: "127.0.0.1:9"}})
 	b.send(near, far)
 	old := b.conn.sent[len(b.conn.sent)-1]
 	sent := c.at
@@ -116,7 +116,7 @@
 // With many peers the message interval grows, so that the message rate stays below Settings.Rate. The
 // silence timeout grows with it, so that the number of missed messages is the same.
 func TestMessagesAreBounded(t *testing.T) {
-	s := Settings{Every: 200 * time.Millisecond, Least: 10 * time.Millisecond, Rate: 200, Forget: 1500 * time.Millisecond}
+	s := Settings{Interval: 200 * time.Millisecond, MinInterval: 10 * time.Millisecond, Rate: 200, SilenceTimeout: 1500 * time.Millisecond}
 	for _, tc := range []struct {
 		name                 string
 		peers                int
--- a/internal/gossip/heardus_test.go
+++ b/internal/gossip/heardus_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// TestTimeOfLastReceivedMessage checks HeardUs: it is the send time of the message that a peer echoes, and
+// TestTimeOfLastReceivedMessage checks LastReceived: it is the send time of the message that a peer echoes, and
 // zero if that message was sent by an earlier incarnation.
 func TestTimeOfLastReceivedMessage(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
 	deliver(t, b, a)
-	if !a.received.HeardUs.IsZero() {
-		t.Errorf("HeardUs is %s before a has sent anything", a.received.HeardUs)
+	if !a.received.LastReceived.IsZero() {
+		t.Errorf("LastReceived is %s before a has sent anything", a.received.LastReceived)
 	}
 	sent := c.at
 	deliver(t, a, b)
 	c.at = c.at.Add(5 * time.Second)
 	deliver(t, b, a)
-	if got := a.received.HeardUs; got.Sub(sent).Abs() > time.Microsecond {
-		t.Errorf("HeardUs is %s, want %s", got, sent)
+	if got := a.received.LastReceived; got.Sub(sent).Abs() > time.Microsecond {
+		t.Errorf("LastReceived is %s, want %s", got, sent)
 	}
 	later := newNode(c, "a", "2")
 	deliver(t, b, later)
-	if !later.received.HeardUs.IsZero() {
-		t.Error("the echo of an earlier incarnation sets HeardUs of the later one")
+	if !later.received.LastReceived.IsZero() {
+		t.Error("the echo of an earlier incarnation sets LastReceived of the later one")
 	}
 }
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -53,8 +53,8 @@
 	return limits.Entry{Name: name, Life: p.incarnation, Stops: !p.State.StopBy.IsZero()}
 }
 
-// Heard returns the live peers whose latest message is not older than staleAfter.
-func (n *Node) Heard() []limits.Entry {
+// LivePeers returns the live peers whose latest message is not older than staleAfter.
+func (n *Node) LivePeers() []limits.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	staleAfter, now := n.staleAfter(), n.now()
@@ -83,7 +83,7 @@
 // sentNotBefore returns the earliest time at which a datagram with this echo can have been sent. It is
 // zero if the echo does not refer to a message of this incarnation.
 func (n *Node) sentNotBefore(e echo) time.Time {
-	if e.Sent <= 0 || e.Life != n.settings.Life || e.HeldUS < 0 {
+	if e.Sent <= 0 || e.Life != n.settings.Incarnation || e.HeldUS < 0 {
 		return time.Time{}
 	}
 	at := n.start.Add(time.Duration(e.Sent) + time.Duration(e.HeldUS)*time.Microsecond)
--- a/internal/gossip/limits_test.go
+++ b/internal/gossip/limits_test.go
@@ -18,7 +18,7 @@
 // sendRound sends a round of messages from one node to another and returns their formats.
 func sendRound(t *testing.T, from, to *node) []int {
 	t.Helper()
-	from.Know(map[string]roster.Entry{to.settings.Name: {Address: "127.0.0.1:9"}})
+	from.SetListed(map[string]roster.Entry{to.settings.Name: {Address: "127.0.0.1:9"}})
 	from.conn.sent = nil
 	from.send(near, far)
 	var formats []int
@@ -68,16 +68,16 @@
 	expect("both have confirmed again", a, restarted, 1)
 }
 
-func TestHeard(t *testing.T) {
+func TestStalePeersAreNotLive(t *testing.T) {
 	c := &clock{at: time.Now()}
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "7")
 	b.state.StopBy = c.at.Add(time.Second)
 	deliver(t, b, a)
-	if got := a.Heard(); len(got) != 1 || got[0] != (limits.Entry{Name: "b", Life: "7", Stops: true}) {
+	if got := a.LivePeers(); len(got) != 1 || got[0] != (limits.Entry{Name: "b", Life: "7", Stops: true}) {
 		t.Fatalf("live peers %+v, want b, which stops", got)
 	}
-	c.at = c.at.Add(maxMissed*a.settings.Every + time.Millisecond)
-	if got := a.Heard(); len(got) != 0 {
+	c.at = c.at.Add(maxMissed*a.settings.Interval + time.Millisecond)
+	if got := a.LivePeers(); len(got) != 0 {
 		t.Errorf("live peers %+v after b became stale, want none", got)
 	}
 }
@@ -162,7 +162,7 @@
 func BenchmarkLimitsMessage(b *testing.B) {
 	c := &clock{at: time.Now()}
 	a, from := newNode(c, "a", "1"), newNode(c, "b", "1")
-	from.Know(map[string]roster.Entry{"a": {Address: "127.0.0.1:9"}})
+	from.SetListed(map[string]roster.Entry{"a": {Address: "127.0.0.1:9"}})
 	from.Send("a", limits.Message{Question: &limits.Question{ID: 1}})
 	for b.Loop() {
 		a.receiveDatagram(from.conn.sent[0], anyAddress)
--- a/internal/gossip/members_test.go
+++ b/internal/gossip/members_test.go
@@ -12,7 +12,7 @@
 // receiveFrom delivers a state of another entry to a node.
 func (n *node) receiveFrom(t *testing.T, name string, port int) {
 	t.Helper()
-	_, b, err := encodeBody(Settings{Name: name, Life: "1"}, State{Zone: "z"}, time.Second, n.now())
+	_, b, err := encodeBody(Settings{Name: name, Incarnation: "1"}, State{Zone: "z"}, time.Second, n.now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	deliver(t, b, a)
 	want := roster.NewSize(1.6, 1000)
 	a.receiveFrom(t, "other", 1000)
-	b.Know(map[string]roster.Entry{"other": {Address: "127.0.0.1:1000", Size: want}, "a": {Address: "127.0.0.1:9"}})
+	b.SetListed(map[string]roster.Entry{"other": {Address: "127.0.0.1:1000", Size: want}, "a": {Address: "127.0.0.1:9"}})
 	b.receiveFrom(t, "other", 1000)
 	compareUntilDone(a, b)
 	if got := a.Peers()["other"].Size; got != want {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -59,7 +59,7 @@
 type stateBody struct {
 	_    struct{} `cbor:",toarray"`
 	From string
-	// Life identifies the incarnation of the sender.
+	// Incarnation identifies the incarnation of the sender.
 	Life string
 	// Sent is the sender's uptime in nanoseconds plus 1, so that it is never 0.
 	Sent int64
@@ -122,7 +122,7 @@
 
 func newStateBody(settings Settings, s State, uptime time.Duration, now time.Time) stateBody {
 	b := stateBody{
-		From: settings.Name, Life: settings.Life, Sent: uptime.Nanoseconds() + 1, AgeMS: -1,
+		From: settings.Name, Life: settings.Incarnation, Sent: uptime.Nanoseconds() + 1, AgeMS: -1,
 		Zone: s.Zone, Relay: s.Relay, Routes: int64(s.Routes), Lost: s.StoreLost, Leaving: s.Leaving, Failures: s.Failures,
 		Loads: make(map[string]wireLoad, len(s.Loads)), FaultAgesMS: make(map[string]int64, len(s.Faults)), Retries: make(map[string]wireUse, len(s.Retries)),
 	}
@@ -192,7 +192,7 @@
 	return suspects
 }
 
-// state returns the state in a message, without Confirmed and HeardUs, which depend on its echo.
+// state returns the state in a message, without Confirmed and LastReceived, which depend on its echo.
 func (m message) state(now time.Time) State {
 	b := m.body
 	s := State{
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -36,7 +36,7 @@
 
 func encodeState(tb testing.TB, s State, now time.Time) []byte {
 	tb.Helper()
-	version, b, err := encodeBody(Settings{Name: "front-zone-a-13", Life: "73b131248192"}, s, time.Minute, now)
+	version, b, err := encodeBody(Settings{Name: "front-zone-a-13", Incarnation: "73b131248192"}, s, time.Minute, now)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -49,9 +49,9 @@
 	silentSince    time.Time
 }
 
-// Know adds or updates the entries of the list of entries, by name. It drops silent peers that are not
+// SetListed adds or updates the entries of the list of entries, by name. It drops silent peers that are not
 // in the list.
-func (n *Node) Know(listed map[string]roster.Entry) {
+func (n *Node) SetListed(listed map[string]roster.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, entry := range listed {
--- a/internal/gossip/rig_test.go
+++ b/internal/gossip/rig_test.go
@@ -78,8 +78,8 @@
 // rigSettings returns settings with the timing of a gateway.
 func rigSettings(name string, entry roster.Entry, incarnation string) Settings {
 	return Settings{
-		Name: name, Zone: entry.Zone, Entry: entry, Life: incarnation,
-		Every: 200 * time.Millisecond, Least: 10 * time.Millisecond, Urgent: 100 * time.Millisecond, Rate: 250, UrgentRate: 1000, Forget: 1500 * time.Millisecond,
+		Name: name, Zone: entry.Zone, Entry: entry, Incarnation: incarnation,
+		Interval: 200 * time.Millisecond, MinInterval: 10 * time.Millisecond, UrgentInterval: 100 * time.Millisecond, Rate: 250, UrgentRate: 1000, SilenceTimeout: 1500 * time.Millisecond,
 	}
 }
 
@@ -115,11 +115,11 @@
 		entry: roster.Entry{Address: address, Relay: address, Zone: fmt.Sprint("z", i%rigZones), Size: size},
 	}
 	set := limits.New(e.name, "1", limits.Peers{
-		LivePeers: func() []limits.Entry { return e.node.Heard() }, Send: func(to string, m limits.Message) { e.node.Send(to, m) },
+		LivePeers: func() []limits.Entry { return e.node.LivePeers() }, Send: func(to string, m limits.Message) { e.node.Send(to, m) },
 		Broadcast: func() {}, BroadcastTime: func() time.Duration { return time.Second }, RoundTrip: func() time.Duration { return 0 },
 	}, events.Nop(), time.Now)
 	timing := rigSettings(e.name, e.entry, "1")
-	timing.Every = max(timing.Every, r.every)
+	timing.Interval = max(timing.Interval, r.every)
 	e.node = New(timing, &rigConn{e}, e.state, e.received, set, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(r.ctx)
 	e.cancel, e.ended, e.addr = cancel, ctx.Done(), net.UDPAddrFromAddrPort(netip.MustParseAddrPort(address))
@@ -134,7 +134,7 @@
 	r.byAddress[address] = e
 	r.mu.Unlock()
 	go e.node.Run(ctx)
-	e.node.Know(read)
+	e.node.SetListed(read)
 }
 
 // state returns the state of an entry with one generation in flight.
@@ -180,7 +180,7 @@
 	from.leaving = []string{r.update}
 	start := time.Now()
 	r.mu.Unlock()
-	from.node.Urge()
+	from.node.SendNow()
 	for time.Since(start) < limit {
 		time.Sleep(5 * time.Millisecond)
 		r.mu.Lock()
--- a/internal/gossip/scale_test.go
+++ b/internal/gossip/scale_test.go
@@ -70,7 +70,7 @@
 	onRig(t, manyEntries, 0, func(t *testing.T, r *rig) {
 		time.Sleep(5 * time.Second)
 		baseline := r.trafficDuring(func() { time.Sleep(2 * time.Second) })
-		loaded := r.trafficDuring(func() { r.urgeAll(2 * time.Second) })
+		loaded := r.trafficDuring(func() { r.sendAllNow(2 * time.Second) })
 		if more := loaded.messages - baseline.messages; more > 120 {
 			t.Errorf("%.0f messages a second more than without load, want a hundred at most", more)
 		}
@@ -93,7 +93,7 @@
 		{"one of 50 messages is lost", 0.02, func(*rig) {}, forwardTimeout, spreadTimeout},
 		{"the delegates were killed", 0, func(r *rig) { r.killDelegates() }, spreadTimeout, spreadTimeout},
 		{"55 of 100 were killed", 0.02, func(r *rig) { r.killMost() }, spreadTimeout, 2 * spreadTimeout},
-		{"all entries spread urgent states", 0, func(r *rig) { r.urgeAll(time.Second) }, spreadTimeout, spreadTimeout},
+		{"all entries spread urgent states", 0, func(r *rig) { r.sendAllNow(time.Second) }, spreadTimeout, spreadTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			onRig(t, manyEntries, tc.loss, func(t *testing.T, r *rig) {
@@ -188,7 +188,7 @@
 	time.Sleep(10 * time.Second)
 	idle := r.trafficDuring(func() { time.Sleep(3 * time.Second) })
 	spread := r.spread(r.entries[0], 20*time.Second)
-	loaded := r.trafficDuring(func() { r.urgeAll(2 * time.Second) })
+	loaded := r.trafficDuring(func() { r.sendAllNow(2 * time.Second) })
 	r.killMost()
 	spreadAfter := r.spread(r.running()[0], 20*time.Second)
 	killed := time.Now()
@@ -200,11 +200,11 @@
 		median(spread), percentile99(spread), spread[len(spread)-1], median(spreadAfter), percentile99(spreadAfter), spreadAfter[len(spreadAfter)-1], time.Since(killed))
 }
 
-// urgeAll makes all entries urge every 50 ms for a time.
-func (r *rig) urgeAll(lasts time.Duration) {
+// sendAllNow makes all entries call SendNow every 50 ms for a time.
+func (r *rig) sendAllNow(lasts time.Duration) {
 	for start := time.Now(); time.Since(start) < lasts; time.Sleep(50 * time.Millisecond) {
 		for _, e := range r.running() {
-			e.node.Urge()
+			e.node.SendNow()
 		}
 	}
 }
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -55,21 +55,21 @@
 	return roster.ByZone(n.entryCount())
 }
 
-// spreadUrgent spreads the own state on each call of Urge, through delegates or by a round of direct
+// spreadUrgent spreads the own state on each call of SendNow, through delegates or by a round of direct
 // messages, until ctx is done.
 func (n *Node) spreadUrgent(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.urged:
+		case <-n.spreadRequested:
 		}
 		if !n.usesDelegates() {
-			n.UrgeEach()
+			n.Broadcast()
 			continue
 		}
 		n.spreadOwn(ctx)
-		sleep(ctx, n.settings.Urgent)
+		sleep(ctx, n.settings.UrgentInterval)
 	}
 }
 
@@ -111,9 +111,9 @@
 			return
 		}
 		n.rec.Note(events.NewsNotPassedOn, "", "delegates", delegates)
-		n.UrgeEach()
+		n.Broadcast()
 		if n.retryForward() {
-			n.Urge()
+			n.SendNow()
 		}
 	})
 }
@@ -136,7 +136,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ownForwarded < sent {
-		n.stats.NotPassedOn++
+		n.stats.NotForwarded++
 		return false
 	}
 	n.failedForwards = 0
@@ -210,7 +210,7 @@
 	out := n.outbox
 	n.outbox = newOutbox()
 	messages := 0
-	defer func() { n.stats.PassedOn += messages }()
+	defer func() { n.stats.Forwarded += messages }()
 	for _, p := range n.peers {
 		if p.silent || p.State.Zone != n.settings.Zone {
 			continue
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -58,8 +58,8 @@
 	Retries map[string]routing.Use
 	// Suspects lists the requests that the entry knows to have run on upstreams when those crashed.
 	Suspects []quarantine.Report
-	// HeardUs is the send time of the receiver's latest message that had reached the sender of this
+	// LastReceived is the send time of the receiver's latest message that had reached the sender of this
 	// State, by the receiver's monotonic clock; zero for none. It is not encoded: the receiver takes it
 	// from the echo.
-	HeardUs time.Time
+	LastReceived time.Time
 }
--- a/internal/gossip/stats.go
+++ b/internal/gossip/stats.go
@@ -2,14 +2,14 @@
 
 // Stats holds the counters of a Node for metrics.
 type Stats struct {
-	// Heard is the number of live peers, and Silent that of silent peers, which are listed, were named
+	// Live is the number of live peers, and Silent that of silent peers, which are listed, were named
 	// or have been live.
-	Heard, Silent int
+	Live, Silent int
 	// Delegate is whether the entry is a delegate, which forwards urgent states of its zone.
 	Delegate bool
-	// PassedOn counts the messages with which the entry forwarded states, and NotPassedOn the own
+	// Forwarded counts the messages with which the entry forwarded states, and NotForwarded the own
 	// states that no delegate forwarded in time.
-	PassedOn, NotPassedOn int
+	Forwarded, NotForwarded int
 }
 
 // Stats returns the current counters.
@@ -22,7 +22,7 @@
 		if p.silent {
 			s.Silent++
 		} else {
-			s.Heard++
+			s.Live++
 		}
 	}
 	return s
--- a/internal/gossip/timing.go
+++ b/internal/gossip/timing.go
@@ -25,22 +25,22 @@
 	Zone string
 	// Entry is the record of this entry in the list of entries.
 	Entry roster.Entry
-	// Life identifies the incarnation; it is different for each start of the process.
-	Life string
-	// Every is the regular interval between two messages to one peer.
-	Every time.Duration
-	// Least is the minimum interval between two messages to one peer after a Nudge.
-	Least time.Duration
-	// Urgent is the minimum interval between two rounds of urgent messages.
-	Urgent time.Duration
+	// Incarnation identifies the incarnation; it is different for each start of the process.
+	Incarnation string
+	// Interval is the regular interval between two messages to one peer.
+	Interval time.Duration
+	// MinInterval is the minimum interval between two messages to one peer after SendSoon.
+	MinInterval time.Duration
+	// UrgentInterval is the minimum interval between two rounds of urgent messages.
+	UrgentInterval time.Duration
 	// Rate bounds the messages per second to each group, urgent ones not counted. With many peers
-	// Every, Least and Forget grow to keep to it.
+	// Interval, MinInterval and SilenceTimeout grow to keep to it.
 	Rate int
 	// UrgentRate bounds the urgent messages per second to each group; 0 for no bound.
 	UrgentRate int
-	// Forget is the silence timeout: the time without a message after which a peer is silent and its
+	// SilenceTimeout is the silence timeout: the time without a message after which a peer is silent and its
 	// state is no longer used.
-	Forget time.Duration
+	SilenceTimeout time.Duration
 }
 
 // roundTime returns the time that one message to each of a number of peers takes at Rate.
@@ -56,12 +56,12 @@
 	return time.Duration(peers) * time.Second / time.Duration(s.UrgentRate)
 }
 
-// timing returns Every, Least and Forget, adapted to a number of peers. The silence timeout grows in
-// proportion to the regular interval, so that the number of missed messages is the same.
-func (s Settings) timing(peers int) (every, least, forget time.Duration) {
+// timing returns Interval, MinInterval and SilenceTimeout, adapted to a number of peers. The silence
+// timeout grows in proportion to the regular interval, so that the number of missed messages is the same.
+func (s Settings) timing(peers int) (interval, minInterval, silenceTimeout time.Duration) {
 	roundTime := s.roundTime(peers)
-	every, least = max(s.Every, roundTime), max(s.Least, roundTime)
-	return every, least, time.Duration(float64(s.Forget) * float64(every) / float64(s.Every))
+	interval, minInterval = max(s.Interval, roundTime), max(s.MinInterval, roundTime)
+	return interval, minInterval, time.Duration(float64(s.SilenceTimeout) * float64(interval) / float64(s.Interval))
 }
 
 // urgency is how soon the next message to a group is wanted.
@@ -69,8 +69,8 @@
 
 const (
 	regular urgency = iota
-	nudge
-	urge
+	soon
+	urgent
 )
 
 // schedule determines when the groups get their next messages.
@@ -90,9 +90,9 @@
 func (s *schedule) sendAt(g group, settings Settings, peers int) time.Time {
 	every, least, _ := settings.timing(peers)
 	switch s.urgency[g] {
-	case urge:
-		return s.sent[g].Add(max(min(settings.Urgent, least), settings.urgentRoundTime(peers)))
-	case nudge:
+	case urgent:
+		return s.sent[g].Add(max(min(settings.UrgentInterval, least), settings.urgentRoundTime(peers)))
+	case soon:
 		return s.sent[g].Add(least)
 	default:
 		return s.sent[g].Add(every)
@@ -142,9 +142,9 @@
 }
 
 // Delay returns the expected time from a change of the state of an entry in a zone until the change is
-// known here: half of the message interval plus half of the round-trip time. After a Nudge the interval
-// is at most Settings.Least, adapted to the number of peers.
-func (n *Node) Delay(zone string, nudged bool) time.Duration {
+// known here: half of the message interval plus half of the round-trip time. After SendSoon the interval
+// is at most Settings.MinInterval, adapted to the number of peers.
+func (n *Node) Delay(zone string, sentSoon bool) time.Duration {
 	g := far
 	if zone == n.settings.Zone {
 		g = near
@@ -152,44 +152,44 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	interval := n.meanInterval[g]
-	if nudged {
+	if sentSoon {
 		_, least, _ := n.settings.timing(n.sizes[g])
 		interval = min(interval, least)
 	}
 	return (interval + n.roundTrip) / 2
 }
 
-// Told returns the time after Urge within which all other entries know of a change, even if one message
-// is lost, and the time without a message after which a peer must not be relied on any more.
-func (n *Node) Told() (within, staleAfter time.Duration) {
+// DeliveryTime returns the time after SendNow within which all other entries know of a change, even if one
+// message is lost, and the time without a message after which a peer must not be relied on any more.
+func (n *Node) DeliveryTime() (within, staleAfter time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if roster.ByZone(n.entryCount()) {
-		return n.settings.Urgent + spreadTimeout + n.roundTrip, n.staleAfter()
+		return n.settings.UrgentInterval + spreadTimeout + n.roundTrip, n.staleAfter()
 	}
 	return n.directTimeout(), n.staleAfter()
 }
 
-// ToldEach returns the time after UrgeEach within which all other entries know of a change, even if one
+// BroadcastTime returns the time after Broadcast within which all other entries know of a change, even if one
 // message is lost.
-func (n *Node) ToldEach() time.Duration {
+func (n *Node) BroadcastTime() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.directTimeout()
 }
 
-// directTimeout is ToldEach for callers that hold n.mu.
+// directTimeout is BroadcastTime for callers that hold n.mu.
 func (n *Node) directTimeout() time.Duration {
 	peers := max(n.sizes[near], n.sizes[far])
-	return max(n.settings.Urgent, n.settings.urgentRoundTime(peers)) + n.regularInterval() + n.roundTrip
+	return max(n.settings.UrgentInterval, n.settings.urgentRoundTime(peers)) + n.regularInterval() + n.roundTrip
 }
 
 // entryCount returns the number of entries, this one and silent ones included and unverified ones not.
 // The caller must hold n.mu.
 func (n *Node) entryCount() int { return n.sizes[near] + n.sizes[far] + 1 }
 
-// Way returns the moving average of the round-trip time to the peers.
-func (n *Node) Way() time.Duration {
+// RoundTrip returns the moving average of the round-trip time to the peers.
+func (n *Node) RoundTrip() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.roundTrip
--- a/internal/gossip/timing_test.go
+++ b/internal/gossip/timing_test.go
@@ -9,7 +9,7 @@
 
 // TestSchedule checks when near and far peers get messages, by urgency and number of peers.
 func TestSchedule(t *testing.T) {
-	settings := Settings{Every: 200 * time.Millisecond, Least: 10 * time.Millisecond, Urgent: 100 * time.Millisecond, Rate: 250, Forget: 1500 * time.Millisecond}
+	settings := Settings{Interval: 200 * time.Millisecond, MinInterval: 10 * time.Millisecond, UrgentInterval: 100 * time.Millisecond, Rate: 250, SilenceTimeout: 1500 * time.Millisecond}
 	for _, tc := range []struct {
 		name      string
 		peers     [groups]int
@@ -17,10 +17,10 @@
 		near, far time.Duration
 	}{
 		{"few peers, regular", [groups]int{1, 2}, regular, 200 * time.Millisecond, 200 * time.Millisecond},
-		{"few peers, nudged", [groups]int{1, 2}, nudge, 10 * time.Millisecond, 10 * time.Millisecond},
+		{"few peers, sent soon", [groups]int{1, 2}, soon, 10 * time.Millisecond, 10 * time.Millisecond},
 		{"a hundred peers, regular", [groups]int{17, 86}, regular, 200 * time.Millisecond, 344 * time.Millisecond},
-		{"a hundred peers, nudged", [groups]int{17, 86}, nudge, 68 * time.Millisecond, 344 * time.Millisecond},
-		{"a hundred peers, urged", [groups]int{17, 86}, urge, 68 * time.Millisecond, 100 * time.Millisecond},
+		{"a hundred peers, sent soon", [groups]int{17, 86}, soon, 68 * time.Millisecond, 344 * time.Millisecond},
+		{"a hundred peers, sent urgently", [groups]int{17, 86}, urgent, 68 * time.Millisecond, 100 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			start := time.Now()
@@ -45,7 +45,7 @@
 	a, b := newNode(c, "a", "1"), newNode(c, "b", "1")
 	const oneWay, interval = 15 * time.Millisecond, 400 * time.Millisecond
 	exchange := func(from, to *node) {
-		from.Know(map[string]roster.Entry{to.settings.Name: {Address: "127.0.0.1:9"}})
+		from.SetListed(map[string]roster.Entry{to.settings.Name: {Address: "127.0.0.1:9"}})
 		from.send(near, far)
 		sent := from.conn.sent[len(from.conn.sent)-1]
 		c.at = c.at.Add(oneWay)
@@ -60,7 +60,7 @@
 	if want := (interval + 2*oneWay) / 2; (got - want).Abs() > 10*time.Millisecond {
 		t.Errorf("delay %s, want about %s", got, want)
 	}
-	if within, _ := a.Told(); within < 2*oneWay+time.Second-5*time.Millisecond {
+	if within, _ := a.DeliveryTime(); within < 2*oneWay+time.Second-5*time.Millisecond {
 		t.Errorf("Told returns %s, want at least a regular interval and a round trip", within)
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -74,7 +74,7 @@
 mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Extra\), privateFraction\*share\)/float64(u.Extra)/' internal/routing TestIdleEntries
 mutant link-pairs internal/link/link.go 's/if p\.answersPreviousRequest\(c, req, resp\) \{/if false {/' internal/link TestRepeatedAnswerIsSkipped
 mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && openAndSilent\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionReuse'
-mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfEarlierIncarnation
+mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Incarnation//' internal/gossip TestEchoOfEarlierIncarnation
 mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestStoreCalledWhenDelegate
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.selfReported && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
 mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRouteTableVersionNeverDecreases
@@ -253,7 +253,7 @@
 mutant limits-settled $limits/peers.go 's/ \|\| !p\.acknowledged \|\| p\.wantsAck//' $limits TestRestartedEntryAgreesOnTheGranter
 mutant limits-asks $limits/peers.go 's/ \|\| p\.wantsAck//' internal/gossip TestReceiversOfLimitMessages
 mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestGranterCandidates
-mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestHeard
+mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestStalePeersAreNotLive
 mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestGranterCandidates
 mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestSentNotBefore
 mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestRateLimitOfUpstreamIsObeyed
@@ -282,9 +282,9 @@
 mutant zone-more internal/roster/roster.go 's/\(entries\+entriesPerDelegate-1\)\/entriesPerDelegate/0*entries/' internal/roster TestEntriesPerDelegateAreBounded
 mutant zone-confirmed internal/relay/server.go 's/case <-signals\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationEndsLongPoll
 mutant zone-turns internal/relay/turns.go 's/maxTurnTakers = 32/maxTurnTakers = 1 << 20/' internal/relay TestTurnsAreLimited
-mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.UrgeEach()/' internal/gossip TestEntryThatAppears
+mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.Broadcast()/' internal/gossip TestEntryThatAppears
 mutant urgent-direct $spread 's/if !n\.usesDelegates\(\) \{/if n.usesDelegates() || true {/' internal/gossip TestUrgentMessagesAreBounded
-mutant urgent-fallback $spread 's/\t\tn\.UrgeEach\(\)\n\t\tif n\.retryForward\(\) \{\n\t\t\tn\.Urge\(\)\n\t\t\}/\t\t_ = n.retryForward/' internal/gossip TestStateThatNoDelegateForwards
+mutant urgent-fallback $spread 's/\t\tn\.Broadcast\(\)\n\t\tif n\.retryForward\(\) \{\n\t\t\tn\.SendNow\(\)\n\t\t\}/\t\t_ = n.retryForward/' internal/gossip TestStateThatNoDelegateForwards
 mutant urgent-ahead internal/gossip/bundle.go 's/ \|\| n\.isFromFuture\(p, m\.body\.Sent\)//' internal/gossip TestInvalidForwardedStates
 mutant urgent-life internal/gossip/bundle.go 's/ \|\| p\.incarnation != m\.body\.Life \|\| m\.body\.Sent/ || m.body.Sent/' internal/gossip TestInvalidForwardedStates
 mutant silent-untold $spread 's/\tif n\.delegate \{\n\t\tn\.reportSilent\(now\)\n\t\}\n/\t_ = n.reportSilent\n/' internal/gossip TestSilentEntriesAreForgotten
