--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -251,14 +251,14 @@
 	proto := platform.NewProtocol()
 	b.pool = link.New(link.Settings{DialWithin: dialTimeout, IdleUnknown: defaultUpstreamIdle, IdleMargin: upstreamIdleMargin, HeadWithin: cancelledHeadTimeout, IDHeader: proto.IDHeader}, dialer(), time.Now)
 	b.gateway = gateway.New(gateway.Settings{
-		Name: s.Name, Life: b.incarnation, Zone: s.Zone, RoutesTrusted: s.KeyBound - keyBoundMargin, HardKeyBound: s.KeyBoundHard,
+		Name: s.Name, Incarnation: b.incarnation, Zone: s.Zone, MaxRoutesAge: s.KeyBound - keyBoundMargin, HardKeyBound: s.KeyBoundHard,
 		RetryRatio: s.RetryRatio * retryBudgetShare, RetryExtra: s.RetryExtra * retryBudgetShare, RetryWindow: s.RetryWindow,
-	}, b.routes, b.fleet, b.pool, proto, gateway.Others{
-		Nudge: func() { b.gossip.SendSoon() },
-		Heard: func() map[string]gossip.Peer { return b.gossip.Peers() },
-		Urge:  func() { b.gossip.SendNow() },
-		Delay: func(zone string, nudged bool) time.Duration { return b.gossip.Delay(zone, nudged) },
-		Told:  func() (told, silence time.Duration) { return b.gossip.DeliveryTime() },
+	}, b.routes, b.fleet, b.pool, proto, gateway.Peers{
+		SendSoon:      func() { b.gossip.SendSoon() },
+		LivePeers:     func() map[string]gossip.Peer { return b.gossip.Peers() },
+		SendNow:       func() { b.gossip.SendNow() },
+		Delay:         func(zone string, sentSoon bool) time.Duration { return b.gossip.Delay(zone, sentSoon) },
+		DeliveryTimes: func() (delivery, silence time.Duration) { return b.gossip.DeliveryTime() },
 		Limits: limits.Peers{
 			LivePeers:     func() []limits.Entry { return b.gossip.LivePeers() },
 			Send:          func(to string, m limits.Message) { b.gossip.Send(to, m) },
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -122,9 +122,9 @@
 	lastRequestEnd, deadline := earliest.Add(within), signalled.Add(within)
 	b.rec.Note(events.ProcessStopping, "", "stop-within", b.settings.StopWithin, "noticed-after", time.Since(signalled), "at-most", time.Since(earliest))
 	b.gateway.DrainUntil(lastRequestEnd, deadline)
-	b.awaitQuiet(time.Now().Add(min(gateway.NoticeTime, b.settings.StopWithin/3)), lastRequestEnd.Add(-closeReserve))
+	b.awaitQuiet(time.Now().Add(min(gateway.ReadinessLag, b.settings.StopWithin/3)), lastRequestEnd.Add(-closeReserve))
 	ctx = context.WithoutCancel(ctx)
-	drainCtx, cancel := context.WithDeadline(ctx, deadline.Add(-gateway.AnswerSpare))
+	drainCtx, cancel := context.WithDeadline(ctx, deadline.Add(-gateway.AnswerReserve))
 	defer cancel()
 	if err := b.callers.connections.Drain(drainCtx); err != nil {
 		b.rec.Note(events.DrainTooShort, "", "error", err)
@@ -152,7 +152,7 @@
 // connections would be closed before the responses are written.
 func (b *gatewayBuilder) giveUp(ctx context.Context) {
 	b.gateway.GiveUp()
-	ctx, cancel := context.WithTimeout(ctx, gateway.AnswerSpare)
+	ctx, cancel := context.WithTimeout(ctx, gateway.AnswerReserve)
 	defer cancel()
 	if err := b.callers.connections.Drain(ctx); err != nil {
 		b.rec.Note(events.DrainTooShort, "", "error", err)
@@ -164,7 +164,7 @@
 // callers to them, and a closed listener would turn all of these away.
 func (b *gatewayBuilder) awaitQuiet(notBefore, notAfter time.Time) {
 	for now := time.Now(); now.Before(notAfter); now = time.Now() {
-		if now.After(notBefore) && b.gateway.QuietFor() >= quietPeriod {
+		if now.After(notBefore) && b.gateway.IdleFor() >= quietPeriod {
 			return
 		}
 		time.Sleep(quietPollInterval)
--- a/internal/daemon/gatewayhttp_test.go
+++ b/internal/daemon/gatewayhttp_test.go
@@ -51,7 +51,7 @@
 		},
 	}
 	routes := belief.NewRoutes("", nil, events.Nop(), time.Now)
-	return gateway.New(gateway.Settings{}, routes, nil, nil, proto, gateway.Others{Urge: func() {}}, events.Nop(), prometheus.NewRegistry(), time.Now)
+	return gateway.New(gateway.Settings{}, routes, nil, nil, proto, gateway.Peers{SendNow: func() {}}, events.Nop(), prometheus.NewRegistry(), time.Now)
 }
 
 func sendRequestsUntil(h http.Handler, done <-chan struct{}) {
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -83,7 +83,7 @@
 func (b *gatewayBuilder) applyEntryList(listed map[string]roster.Entry) {
 	b.gossip.SetListed(listed)
 	if _, own := listed[b.settings.Name]; own {
-		b.gateway.Registered(len(listed))
+		b.gateway.SetListedEntries(len(listed))
 	}
 }
 
@@ -128,7 +128,7 @@
 func (b *gatewayBuilder) ownState() gossip.State {
 	s := gossip.State{
 		Zone: b.settings.Zone, Relay: b.settings.RelayListen, Loads: b.gateway.Load(),
-		StopBy: b.gateway.StopBy(), StoreLost: b.source.StoreLost(), Leaving: b.fleet.KnownLeaving(), Faults: b.fleet.Faults(), Failures: b.fleet.Failures(), Retries: b.gateway.RetryUse(), Suspects: b.gateway.Quarantine().Reports(),
+		StopBy: b.gateway.StopDeadline(), StoreLost: b.source.StoreLost(), Leaving: b.fleet.KnownLeaving(), Faults: b.fleet.Faults(), Failures: b.fleet.Failures(), Retries: b.gateway.RetryUse(), Suspects: b.gateway.Quarantine().Reports(),
 	}
 	table, confirmed := b.routes.Current()
 	if table != nil {
@@ -139,8 +139,8 @@
 
 // applyPeerState applies the state that another gateway gossiped.
 func (b *gatewayBuilder) applyPeerState(from string, s gossip.State) {
-	b.gateway.PeerLoad(from, s.Loads)
-	b.gateway.PeerRetryUse(from, s.Retries, s.LastReceived)
+	b.gateway.SetPeerLoad(from, s.Loads)
+	b.gateway.SetPeerRetryUse(from, s.Retries, s.LastReceived)
 	b.fleet.PeerFaults(from, s.Faults)
 	b.fleet.PeerFailures(from, s.Failures)
 	b.gateway.Quarantine().Merge(from, s.Suspects)
--- a/internal/daemon/gatewaystatus.go
+++ b/internal/daemon/gatewaystatus.go
@@ -93,7 +93,7 @@
 		out = append(out, s)
 	}
 	for _, u := range b.fleet.All() {
-		load := b.gateway.Known(u.ID)
+		load := b.gateway.KnownLoad(u.ID)
 		out = append(out, peerStatus{VM: u.Name, Zone: u.Zone, Address: u.Address, Role: u.Service, Upstream: u.ID, State: stateOf(u, time.Now()), Running: load.Running})
 	}
 	slices.SortFunc(out, func(a, b peerStatus) int { return strings.Compare(a.Role+a.VM, b.Role+b.VM) })
--- a/internal/daemon/gatewaystore.go
+++ b/internal/daemon/gatewaystore.go
@@ -83,13 +83,13 @@
 	b.every(sweepInterval, func() {
 		b.fleet.Sweep()
 		b.pool.Sweep()
-		b.gateway.ForgetSilent()
-		b.gateway.CountHeard()
+		b.gateway.ForgetUnreachable()
+		b.gateway.CountReachable()
 		b.gateway.SweepQuarantine()
 		b.gateway.SweepLimits()
 		b.publishVerdicts()
 		if _, ok := b.upstreamsFollower.Settled(); !ok {
-			b.gateway.InquireAll(b.ctx)
+			b.gateway.QueryEngines(b.ctx)
 		}
 	})
 }
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -138,11 +138,11 @@
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	}
-	others := gateway.Others{
-		Nudge: func() {}, Urge: func() {}, Heard: func() map[string]gossip.Peer { return nil },
-		Delay: func(string, bool) time.Duration { return 0 }, Told: func() (told, silence time.Duration) { return 0, 0 },
+	others := gateway.Peers{
+		SendSoon: func() {}, SendNow: func() {}, LivePeers: func() map[string]gossip.Peer { return nil },
+		Delay: func(string, bool) time.Duration { return 0 }, DeliveryTimes: func() (delivery, silence time.Duration) { return 0, 0 },
 	}
-	return gateway.New(gateway.Settings{RoutesTrusted: time.Minute, RetryWindow: time.Second}, routes, set, link.New(link.Settings{DialWithin: time.Second}, dial, time.Now), proto, others, events.Nop(), prometheus.NewRegistry(), time.Now)
+	return gateway.New(gateway.Settings{MaxRoutesAge: time.Minute, RetryWindow: time.Second}, routes, set, link.New(link.Settings{DialWithin: time.Second}, dial, time.Now), proto, others, events.Nop(), prometheus.NewRegistry(), time.Now)
 }
 
 // expectRefusal sends a request to a gateway without routes, which refuses it.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -91,7 +91,7 @@
 // markFaulty marks an engine as faulty and tells the other entries without delay.
 func (g *Gateway) markFaulty(upstream string) {
 	g.fleet.RecordOutcome(upstream, fleet.Faulty)
-	g.peers.Urge()
+	g.peers.SendNow()
 }
 
 // logAttempt logs the choice of an engine and the data that it was based on.
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -100,7 +100,7 @@
 	f := newFixture(t)
 	full := f.addEngine("full")
 	free := f.addEngine("free")
-	f.gateway.PeerLoad("b", map[string]gossip.Load{"full": {Running: 4, Held: 99000, Tokens: 99500}})
+	f.gateway.SetPeerLoad("b", map[string]gossip.Load{"full": {Running: 4, Held: 99000, Tokens: 99500}})
 	for range 3 {
 		if got := f.ask(pathStream); got.status != http.StatusOK {
 			t.Fatalf("status %d, want 200", got.status)
@@ -116,13 +116,13 @@
 	f := newFixture(t)
 	f.addEngine("e")
 	f.peers = map[string]gossip.Peer{"b": {}}
-	f.gateway.PeerLoad("b", map[string]gossip.Load{"e": {Running: 4, Held: 99000, Tokens: 99500}})
-	f.gateway.ForgetSilent()
+	f.gateway.SetPeerLoad("b", map[string]gossip.Load{"e": {Running: 4, Held: 99000, Tokens: 99500}})
+	f.gateway.ForgetUnreachable()
 	if got := f.ask(pathStream); got.status != http.StatusServiceUnavailable {
 		t.Errorf("status %d while another entry fills the engine, want 503", got.status)
 	}
 	f.peers = nil
-	f.gateway.ForgetSilent()
+	f.gateway.ForgetUnreachable()
 	if got := f.ask(pathStream); got.status != http.StatusOK {
 		t.Errorf("status %d after that entry became unreachable, want 200", got.status)
 	}
@@ -143,7 +143,7 @@
 // crowdedGateway returns a gateway with n half-full engines, and a generation to place.
 func crowdedGateway(n int) (*Gateway, *stream) {
 	set := fleet.New(events.Nop(), time.Now, func(string) {})
-	g := &Gateway{fleet: set, loads: newLoadTracker(time.Now), prefixes: newPrefixes(), now: time.Now, peers: Others{Delay: func(string, bool) time.Duration { return 10 * time.Millisecond }}}
+	g := &Gateway{fleet: set, loads: newLoadTracker(time.Now), prefixes: newPrefixes(), now: time.Now, peers: Peers{Delay: func(string, bool) time.Duration { return 10 * time.Millisecond }}}
 	g.quarantine = quarantine.New(events.Nop(), time.Now, func() {})
 	g.limits = limits.New("a", "1", limits.Alone(), events.Nop(), time.Now)
 	g.met = newMetrics(prometheus.NewRegistry(), func() float64 { return 0 })
--- a/internal/gateway/continue.go
+++ b/internal/gateway/continue.go
@@ -84,7 +84,7 @@
 		}
 		time.Sleep(resumePollInterval)
 	}
-	s.g.peers.Urge()
+	s.g.peers.SendNow()
 	return true
 }
 
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -197,13 +197,13 @@
 		func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp4", address)
 		}, time.Now)
-	f.gateway = New(Settings{RoutesTrusted: time.Minute, RetryRatio: 0.2, RetryExtra: 100, RetryWindow: 10 * time.Second},
-		f.routes, f.fleet, pool, testProtocol(), Others{
-			Nudge: func() {}, Urge: func() {}, Told: func() (told, silence time.Duration) { return 0, 0 }, Heard: func() map[string]gossip.Peer { return f.peers },
+	f.gateway = New(Settings{MaxRoutesAge: time.Minute, RetryRatio: 0.2, RetryExtra: 100, RetryWindow: 10 * time.Second},
+		f.routes, f.fleet, pool, testProtocol(), Peers{
+			SendSoon: func() {}, SendNow: func() {}, DeliveryTimes: func() (delivery, silence time.Duration) { return 0, 0 }, LivePeers: func() map[string]gossip.Peer { return f.peers },
 			Delay:  func(string, bool) time.Duration { return f.delay },
 			Limits: limits.Alone(),
 		}, f.rec, prometheus.NewRegistry(), time.Now)
-	f.gateway.Registered(1)
+	f.gateway.SetListedEntries(1)
 	f.server = httptest.NewServer(f.gateway)
 	t.Cleanup(f.server.Close)
 	f.routes.Apply(platform.Snapshot{Records: []platform.Record{{Name: "routes", Value: []byte("1")}}}, true)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,13 +31,13 @@
 type Settings struct {
 	// Name is the name of this entry among all entries.
 	Name string
-	// Life identifies this incarnation of the entry.
-	Life string
+	// Incarnation identifies this incarnation of the entry.
+	Incarnation string
 	// Zone is the availability zone of the entry.
 	Zone string
-	// RoutesTrusted is how long a route table is trusted without confirmation. An older table
+	// MaxRoutesAge is how long a route table is trusted without confirmation. An older table
 	// proves neither that a key is still valid nor that a key does not exist.
-	RoutesTrusted time.Duration
+	MaxRoutesAge time.Duration
 	// HardKeyBound refuses requests with keys if the table is older than that. Without it, the
 	// keys in the last known table are accepted for as long as the store is unavailable.
 	HardKeyBound bool
@@ -99,34 +99,34 @@
 	queriedAt map[string]time.Time
 	// probing holds the upstreams that are being probed for a crash.
 	probing map[string]bool
-	peers   Others
+	peers   Peers
 }
 
-// Others gives access to the other entries of the deployment.
-type Others struct {
-	// Nudge sends them the load of this entry soon, and Urge sends it at once.
-	Nudge func()
-	Urge  func()
-	// Heard returns the reachable entries and what they reported.
-	Heard func() map[string]gossip.Peer
+// Peers gives access to the other entries of the deployment.
+type Peers struct {
+	// SendSoon sends them the load of this entry soon, and SendNow sends it at once.
+	SendSoon func()
+	SendNow  func()
+	// LivePeers returns the reachable entries and what they reported.
+	LivePeers func() map[string]gossip.Peer
 	// Delay returns how long it takes this entry to learn of a request that an entry in a zone
-	// placed. nudged is set if that entry called Nudge for the request.
-	Delay func(zone string, nudged bool) time.Duration
-	// Told returns the time within which all entries receive what Urge sends, and the silence
+	// placed. sentSoon is set if that entry called SendSoon for the request.
+	Delay func(zone string, sentSoon bool) time.Duration
+	// DeliveryTimes returns the time within which all entries receive what SendNow sends, and the silence
 	// after which an entry must not be relied on.
-	Told func() (told, silence time.Duration)
+	DeliveryTimes func() (delivery, silence time.Duration)
 	// Limits is how entries share the capacity of rate-limited upstreams.
 	Limits limits.Peers
 }
 
 // New returns a Gateway.
-func New(settings Settings, routes *belief.Routes, set *fleet.Set, pool *link.Pool, proto protocol.Protocol, others Others, rec *events.Recorder, reg prometheus.Registerer, now func() time.Time) *Gateway {
+func New(settings Settings, routes *belief.Routes, set *fleet.Set, pool *link.Pool, proto protocol.Protocol, peers Peers, rec *events.Recorder, reg prometheus.Registerer, now func() time.Time) *Gateway {
 	g := &Gateway{
 		settings: settings, routes: routes, fleet: set, link: pool, proto: proto, rec: rec,
 		met: newMetrics(reg, func() float64 { return routesAge(routes, now).Seconds() }), now: now, loads: newLoadTracker(now), prefixes: newPrefixes(), entries: 1,
 		budgets: map[string]*routing.SharedBudget{}, streams: map[string]map[*stream]bool{}, moving: map[string]bool{}, overloads: map[string]*placement.Overload{},
-		queriedAt: map[string]time.Time{}, probing: map[string]bool{}, peers: others,
-		quarantine: quarantine.New(rec, now, others.Urge), limits: limits.New(settings.Name, settings.Life, others.Limits, rec, now), startedAt: now(),
+		queriedAt: map[string]time.Time{}, probing: map[string]bool{}, peers: peers,
+		quarantine: quarantine.New(rec, now, peers.SendNow), limits: limits.New(settings.Name, settings.Incarnation, peers.Limits, rec, now), startedAt: now(),
 	}
 	reg.MustRegister(newLimitRates(g.limits.List))
 	g.stopping, g.giveUpAll = context.WithCancelCause(context.Background())
@@ -136,7 +136,7 @@
 // Ready answers the load balancer's readiness check.
 func (g *Gateway) Ready(w http.ResponseWriter, _ *http.Request) {
 	switch {
-	case !g.StopBy().IsZero():
+	case !g.StopDeadline().IsZero():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	case !g.servesKeys():
 		http.Error(w, "no confirmed routes", http.StatusServiceUnavailable)
@@ -156,7 +156,7 @@
 // and uses the whole of the retry budgets that all entries share, so callers should be sent to the
 // other entries until then.
 func (g *Gateway) peersKnown() bool {
-	return g.entriesListed.Load() || len(g.peers.Heard()) > 0 || g.now().Sub(g.startedAt) > peersWait
+	return g.entriesListed.Load() || len(g.peers.LivePeers()) > 0 || g.now().Sub(g.startedAt) > peersWait
 }
 
 // routesTrusted reports whether there is a route table that is recent enough to check keys with,
@@ -164,13 +164,13 @@
 func (g *Gateway) routesTrusted() bool {
 	table, confirmed := g.routes.Current()
 	age := g.now().Sub(confirmed)
-	ok := table != nil && age < g.settings.RoutesTrusted
+	ok := table != nil && age < g.settings.MaxRoutesAge
 	if g.trusted.Swap(ok) != ok {
 		id := events.RoutesConfirmed
 		if !ok {
 			id = events.RoutesUnconfirmed
 		}
-		g.rec.Note(id, "", "age", age, "bound", g.settings.RoutesTrusted, "known-keys-served", table != nil && (ok || !g.settings.HardKeyBound))
+		g.rec.Note(id, "", "age", age, "bound", g.settings.MaxRoutesAge, "known-keys-served", table != nil && (ok || !g.settings.HardKeyBound))
 	}
 	return ok
 }
@@ -196,37 +196,39 @@
 // Load returns this entry's load in flight by upstream.
 func (g *Gateway) Load() map[string]gossip.Load { return g.loads.snapshot() }
 
-// Known returns the load in flight of all reachable entries at an upstream.
-func (g *Gateway) Known(upstream string) gossip.Load { return g.loads.total(upstream) }
+// KnownLoad returns the load in flight of all reachable entries at an upstream.
+func (g *Gateway) KnownLoad(upstream string) gossip.Load { return g.loads.total(upstream) }
 
-// PeerLoad replaces the load in flight of another entry.
-func (g *Gateway) PeerLoad(name string, loads map[string]gossip.Load) { g.loads.setPeer(name, loads) }
+// SetPeerLoad replaces the load in flight of another entry.
+func (g *Gateway) SetPeerLoad(name string, loads map[string]gossip.Load) {
+	g.loads.setPeer(name, loads)
+}
 
-// ForgetSilent drops the load of entries that are no longer reachable. Their connections to
+// ForgetUnreachable drops the load of entries that are no longer reachable. Their connections to
 // engines ended with them, and their load must not keep other requests from being admitted.
-func (g *Gateway) ForgetSilent() {
-	peers := g.peers.Heard()
+func (g *Gateway) ForgetUnreachable() {
+	peers := g.peers.LivePeers()
 	g.loads.keepPeers(func(name string) bool { _, ok := peers[name]; return ok })
 	g.prefixes.sweep(func(engine string) bool { _, ok := g.fleet.Get(engine); return ok }, g.now())
 }
 
-// Registered sets how many entries the store lists. The retry budget is shared among these or
+// SetListedEntries sets how many entries the store lists. The retry budget is shared among these or
 // among the reachable entries, whichever are more.
-func (g *Gateway) Registered(registered int) {
+func (g *Gateway) SetListedEntries(registered int) {
 	g.entriesListed.Store(true)
 	g.limits.SetEntryCount(registered)
-	reachable := len(g.peers.Heard()) + 1
+	reachable := len(g.peers.LivePeers()) + 1
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.setEntries(max(reachable, registered))
 }
 
-// CountHeard raises the number of entries if more are reachable than were listed: entries that
-// start together find only some of the others in the list. Only Registered lowers the number,
+// CountReachable raises the number of entries if more are reachable than were listed: entries that
+// start together find only some of the others in the list. Only SetListedEntries lowers the number,
 // since an entry that reaches no other entry must not take the whole budget.
-func (g *Gateway) CountHeard() {
-	reachable := len(g.peers.Heard()) + 1
-	deliveryTime, silenceLimit := g.peers.Told()
+func (g *Gateway) CountReachable() {
+	reachable := len(g.peers.LivePeers()) + 1
+	deliveryTime, silenceLimit := g.peers.DeliveryTimes()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if reachable > g.entries {
@@ -257,11 +259,11 @@
 	return out
 }
 
-// PeerRetryUse records another entry's use of the retry budgets, and when that entry last
+// SetPeerRetryUse records another entry's use of the retry budgets, and when that entry last
 // received a message from this one.
-func (g *Gateway) PeerRetryUse(name string, uses map[string]routing.Use, lastHeardUs time.Time) {
+func (g *Gateway) SetPeerRetryUse(name string, uses map[string]routing.Use, lastReceived time.Time) {
 	for service, u := range uses {
-		g.budget(service).RecordPeerReport(name, u, lastHeardUs)
+		g.budget(service).RecordPeerReport(name, u, lastReceived)
 	}
 }
 
@@ -273,7 +275,7 @@
 	if !ok {
 		b = routing.NewSharedBudget(g.settings.RetryRatio, g.settings.RetryExtra, g.settings.RetryWindow, g.now)
 		b.SetEntries(g.entries)
-		b.SetMessageTimes(g.peers.Told())
+		b.SetMessageTimes(g.peers.DeliveryTimes())
 		g.budgets[service] = b
 	}
 	return b
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,24 +16,24 @@
 func TestNumberOfEntriesSharingRetryBudget(t *testing.T) {
 	f := newFixture(t)
 	heard := map[string]gossip.Peer{}
-	f.gateway.peers.Heard = func() map[string]gossip.Peer { return heard }
+	f.gateway.peers.LivePeers = func() map[string]gossip.Peer { return heard }
 	check := func(when string, want int) {
 		t.Helper()
 		if got := f.gateway.entries; got != want {
 			t.Errorf("%s: %d entries share, want %d", when, got, want)
 		}
 	}
-	f.gateway.Registered(3)
+	f.gateway.SetListedEntries(3)
 	check("three are listed", 3)
 	for i := range 9 {
 		heard[fmt.Sprint(i)] = gossip.Peer{}
 	}
-	f.gateway.CountHeard()
+	f.gateway.CountReachable()
 	check("nine others are reachable", 10)
 	clear(heard)
-	f.gateway.CountHeard()
+	f.gateway.CountReachable()
 	check("no other entry is reachable any more", 10)
-	f.gateway.Registered(2)
+	f.gateway.SetListedEntries(2)
 	check("the list has two", 2)
 }
 
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -130,7 +130,7 @@
 			result := f.startGeneration(tc.path)
 			if tc.breaksBefore {
 				e.crash()
-				f.waitUntil("the break is noticed", func() bool { return len(f.gateway.Streams()) == 0 })
+				f.waitUntil("the break is noticed", func() bool { return len(f.gateway.StreamingEngines()) == 0 })
 			}
 			if tc.leaves {
 				f.fleet.MarkLeaving(earlier.ID, "test")
@@ -306,9 +306,9 @@
 	shared := []protocol.PromptPart{{ID: "p", Tokens: 500}}
 	f.gateway.prefixes.note(earlier.ID, shared, time.Now())
 	f.gateway.loads.add(earlier.ID, gossip.Load{Running: 1, Held: 10})
-	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 3, Held: 30}})
+	f.gateway.SetPeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 3, Held: 30}})
 	later := f.restart("a", 2)
-	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 9, Held: 90}})
+	f.gateway.SetPeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 9, Held: 90}})
 	c := f.gateway.candidates(f.fleet.Available("llm"), nil, time.Now())
 	if len(c) != 1 || c[0].ID != later.ID || c[0].Load != (gossip.Load{}) || c[0].Rate != 0 {
 		t.Errorf("candidates %+v, want the later incarnation without load", c)
--- a/internal/gateway/inquire.go
+++ b/internal/gateway/inquire.go
@@ -20,10 +20,10 @@
 	queryInterval = 200 * time.Millisecond
 )
 
-// InquireAll asks the engines that run this entry's streams whether they are leaving. It is for
+// QueryEngines asks the engines that run this entry's streams whether they are leaving. It is for
 // times at which the store is unavailable.
-func (g *Gateway) InquireAll(ctx context.Context) {
-	for _, id := range g.Streams() {
+func (g *Gateway) QueryEngines(ctx context.Context) {
+	for _, id := range g.StreamingEngines() {
 		if u, ok := g.fleet.Get(id); ok && u.State() != fleet.Leaving {
 			go g.queryIfDue(ctx, u, "the store is unavailable")
 		}
--- a/internal/gateway/instant_test.go
+++ b/internal/gateway/instant_test.go
@@ -28,7 +28,7 @@
 	f := newFixture(t)
 	by := time.Now().Add(7 * time.Second)
 	f.gateway.Drain(by)
-	if got := f.gateway.StopBy().String(); got != by.String() || !strings.Contains(got, monotonicMark) {
+	if got := f.gateway.StopDeadline().String(); got != by.String() || !strings.Contains(got, monotonicMark) {
 		t.Errorf("stops by %s, want %s with its monotonic reading", got, by)
 	}
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -350,8 +350,8 @@
 	return g.proto.CopyResult(a.Status, body), nil
 }
 
-// Streams returns the engines that run streams of this entry, sorted.
-func (g *Gateway) Streams() []string {
+// StreamingEngines returns the engines that run streams of this entry, sorted.
+func (g *Gateway) StreamingEngines() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([]string, 0, len(g.streams))
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -36,7 +36,7 @@
 	g.rec.Note(events.UpstreamNotice, callID, "upstream", from.ID, "leaving", n.Leaving, "back-off", max(n.BackOffUntil.Sub(g.now()), 0), "known", !known || u.State() == fleet.Leaving)
 	if n.Leaving && g.fleet.AnsweredLeaving(from.ID) {
 		// The other entries send requests to the upstream until gossip delivers the notice.
-		g.peers.Urge()
+		g.peers.SendNow()
 	}
 	if !n.BackOffUntil.IsZero() {
 		g.fleet.BackOff(from.ID, n.BackOffUntil)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -71,7 +71,7 @@
 	rq := &request{call: g.proto.Decode(r, now), start: now, caller: r.Context(), conn: connlimit.From(r.Context()), w: w}
 	rq.conn.Begin(rq.call.ID)
 	defer g.recoverPanic(rq)
-	if !g.StopBy().IsZero() {
+	if !g.StopDeadline().IsZero() {
 		w.Header().Set("Connection", "close")
 	}
 	if !g.prepareRequest(rq, r) {
--- a/internal/gateway/staleload_test.go
+++ b/internal/gateway/staleload_test.go
@@ -120,7 +120,7 @@
 		o.history = o.history[1:]
 	}
 	if !o.now.Before(o.history[0].at.Add(o.delay)) {
-		o.f.gateway.PeerLoad("others", o.history[0].loads)
+		o.f.gateway.SetPeerLoad("others", o.history[0].loads)
 	}
 }
 
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -18,13 +18,13 @@
 	// balancer sends callers to its replacement: the start of the replacement, up to 1 s until
 	// the next readiness check, and a small margin.
 	restartTime = 1750 * time.Millisecond
-	// NoticeTime is how long the load balancer keeps sending callers to an entry that is not
+	// ReadinessLag is how long the load balancer keeps sending callers to an entry that is not
 	// ready: it checks readiness each second and acts on the second failed check.
-	NoticeTime = 2500 * time.Millisecond
-	// AnswerSpare is the last part of a planned stop, reserved for answering the requests that
+	ReadinessLag = 2500 * time.Millisecond
+	// AnswerReserve is the last part of a planned stop, reserved for answering the requests that
 	// are given up: a few round trips, and one scheduling delay of a process that shares its
 	// processor.
-	AnswerSpare = 100 * time.Millisecond
+	AnswerReserve = 100 * time.Millisecond
 )
 
 // Drain reports this entry as not ready to the load balancer and as stopping to the other
@@ -37,11 +37,11 @@
 // flight are given up only at end, the later deadline, because a generation that is given up too
 // early is lost for nothing.
 func (g *Gateway) DrainUntil(last, end time.Time) {
-	g.stopNoticedAt.Store(g.now().Add(NoticeTime))
+	g.stopNoticedAt.Store(g.now().Add(ReadinessLag))
 	g.stopBy.Store(last)
-	time.AfterFunc(end.Add(-AnswerSpare).Sub(g.now()), g.GiveUp)
+	time.AfterFunc(end.Add(-AnswerReserve).Sub(g.now()), g.GiveUp)
 	g.limits.StopGranting()
-	g.peers.Urge()
+	g.peers.SendNow()
 }
 
 // GiveUp ends the requests in flight at the end of a planned stop; their callers get an answer.
@@ -58,19 +58,19 @@
 	}
 }
 
-// StopBy returns the time by which requests have to end in a planned stop. It is zero if no stop
+// StopDeadline returns the time by which requests have to end in a planned stop. It is zero if no stop
 // is in progress.
-func (g *Gateway) StopBy() time.Time { return g.stopBy.Load() }
+func (g *Gateway) StopDeadline() time.Time { return g.stopBy.Load() }
 
 // stopsBefore reports whether a planned stop would give up a request that takes d from now.
 func (g *Gateway) stopsBefore(d time.Duration) bool {
-	by := g.StopBy()
+	by := g.StopDeadline()
 	return !by.IsZero() && g.now().Add(d).After(by)
 }
 
-// QuietFor returns the time since the last request began or ended; 0 while requests are in
+// IdleFor returns the time since the last request began or ended; 0 while requests are in
 // flight.
-func (g *Gateway) QuietFor() time.Duration {
+func (g *Gateway) IdleFor() time.Duration {
 	if g.inFlight.Load() > 0 {
 		return 0
 	}
@@ -103,9 +103,9 @@
 
 // stops returns the planned stops of this entry and the others.
 func (g *Gateway) stops() plannedStops {
-	own := g.StopBy()
+	own := g.StopDeadline()
 	out := plannedStops{firstStop: own, lastSameZoneStop: own}
-	for _, p := range g.peers.Heard() {
+	for _, p := range g.peers.LivePeers() {
 		stopBy, sameZone := p.State.StopBy, p.State.Zone == g.settings.Zone
 		switch {
 		case stopBy.IsZero() && p.State.Confirmed.IsZero():
@@ -127,7 +127,7 @@
 
 // retryDelayAfterStop returns the retry delay for a request that this stopping entry refuses: the
 // time after which another entry is expected to serve it. Callers retry once or twice, and for
-// NoticeTime the load balancer still sends them to stopping entries. If all entries of a zone stop
+// ReadinessLag the load balancer still sends them to stopping entries. If all entries of a zone stop
 // and callers retry at once, most of them use up their retries on these entries.
 func (g *Gateway) retryDelayAfterStop() time.Duration {
 	s := g.stops()
@@ -137,7 +137,7 @@
 	case s.anyServes:
 		// The load balancer sends callers to other zones once it has noticed all stops in
 		// this zone.
-		noticed := g.stopNoticedAt.Load().Add(s.lastSameZoneStop.Sub(g.StopBy()))
+		noticed := g.stopNoticedAt.Load().Add(s.lastSameZoneStop.Sub(g.StopDeadline()))
 		return max(noticed.Sub(g.now()), stoppingRetryDelay)
 	default:
 		return max(s.firstStop.Add(restartTime).Sub(g.now()), stoppingRetryDelay)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -55,8 +55,8 @@
 	}{
 		{"another entry of the zone serves", []gossip.State{serving("a"), stopping("a", time.Second)}, stoppingRetryDelay},
 		{"it is the only entry of its zone", []gossip.State{serving("b")}, stoppingRetryDelay},
-		{"the balancer has not noticed yet that the whole zone stops", []gossip.State{stopping("a", 5*time.Second), serving("b")}, NoticeTime},
-		{"the other entry of the zone stops a second later", []gossip.State{stopping("a", 7*time.Second), serving("b")}, NoticeTime + time.Second},
+		{"the balancer has not noticed yet that the whole zone stops", []gossip.State{stopping("a", 5*time.Second), serving("b")}, ReadinessLag},
+		{"the other entry of the zone stops a second later", []gossip.State{stopping("a", 7*time.Second), serving("b")}, ReadinessLag + time.Second},
 		{"all entries stop, another one first", []gossip.State{stopping("a", 4*time.Second), stopping("b", 5*time.Second)}, 4*time.Second + restartTime},
 		{"no other entry is known", nil, own + restartTime},
 		{"another entry has just started and has no routes", []gossip.State{{Zone: "a"}}, own + restartTime},
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestQuietFor(t *testing.T) {
+func TestIdleFor(t *testing.T) {
 	f := newFixture(t)
 	began, release := make(chan struct{}), make(chan struct{})
 	f.add("app", "a", func(w http.ResponseWriter, r *http.Request) {
@@ -91,17 +91,17 @@
 		f.ask(pathSafe)
 	}()
 	<-began
-	if got := f.gateway.QuietFor(); got != 0 {
+	if got := f.gateway.IdleFor(); got != 0 {
 		t.Errorf("quiet for %s while a request is in flight", got)
 	}
 	close(release)
 	<-ended
-	for f.gateway.QuietFor() == 0 {
+	for f.gateway.IdleFor() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	later := time.Now().Add(time.Minute)
 	f.gateway.now = func() time.Time { return later }
-	if got := f.gateway.QuietFor(); got < 50*time.Second || got > 2*time.Minute {
+	if got := f.gateway.IdleFor(); got < 50*time.Second || got > 2*time.Minute {
 		t.Errorf("quiet for %s a minute after the latest request", got)
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -145,7 +145,7 @@
 	s.claim = s.g.loads.add(st.at.ID, gossip.Load{Running: 1, Tokens: s.expectedTokens(), Prefill: prefill, Held: s.heldTokens()})
 	s.mu.Unlock()
 	s.g.register(s, st.at.ID)
-	s.g.peers.Nudge()
+	s.g.peers.SendSoon()
 }
 
 // leave undoes enter.
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -263,7 +263,7 @@
 func (f *fixture) waitRunning() string {
 	f.t.Helper()
 	for range 2000 {
-		if ids := f.gateway.Streams(); len(ids) > 0 {
+		if ids := f.gateway.StreamingEngines(); len(ids) > 0 {
 			return ids[0]
 		}
 		time.Sleep(time.Millisecond)
