--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -65,11 +65,11 @@
 		Decision: decision.Settings{
 			Blocks: s.Blocks, BlockTokens: s.BlockTokens, MaxBatch: s.MaxBatch, TokenGap: s.TokenGap, Risk: s.Risk,
 		},
-		Grace: s.Grace, Kept: s.Kept, UnackedBytes: s.UnackedBytes, RetainedBytes: s.RetainedBytes,
+		DetachGrace: s.Grace, KeepEnded: s.Kept, UnackedBytes: s.UnackedBytes, RetainedBytes: s.RetainedBytes,
 		CallWindow: s.CallWindow, AnswerBytes: s.AnswerBytes, Skew: s.Skew, CallTimeout: s.CallTimeout, LimitHeader: s.LimitHeader, LeavingHeader: s.LeavingHeader,
 	}, n.identity, b.lease, n.rec, sidecar.NewMetrics(n.reg), b.store.Active, now)
 	b.store.OnActivate = func(a *config.Active) { b.server.Compile(a.Config()) }
-	b.server.OnBehind = func(c *peer.Conn) { b.behind(c, 0) }
+	b.server.OnConfigBehind = func(c *peer.Conn) { b.behind(c, 0) }
 }
 
 func (b *sidecarBuilder) status() membership.Status {
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -274,7 +274,7 @@
 		return openedStream{}, err
 	case part.Ended() && !part.Whole() && len(part.Choices()) == 0:
 		s.Close()
-		e.reportCrash(j.run, part.EndedWith())
+		e.reportCrash(j.run, part.EndedIncarnation())
 		return openedStream{}, fmt.Errorf("%w: %s", errNoToken, part.Reason())
 	}
 	return openedStream{stream: s, first: part}, nil
--- a/internal/entry/crashing.go
+++ b/internal/entry/crashing.go
@@ -139,7 +139,7 @@
 		run.Served()
 		return
 	}
-	e.reportCrash(run, res.EndedWith())
+	e.reportCrash(run, res.EndedIncarnation())
 }
 
 // Quarantine returns this entry's quarantine of poison requests.
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -84,7 +84,7 @@
 	case p.Whole():
 		r.run.Served()
 	case p.Ended():
-		r.entry.reportCrash(r.run, p.EndedWith())
+		r.entry.reportCrash(r.run, p.EndedIncarnation())
 	case time.Since(r.startedAt) > steadyAfter:
 		r.run.EndTrial()
 	}
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -212,7 +212,7 @@
 	ctx, cancel := context.WithDeadline(r.Context(), call.StartBy)
 	defer cancel()
 	e.retryBudget(pool.Name).Request()
-	res := sidecar.NewRefusal("no upstream can take the call", e.retryAt(pool))
+	res := sidecar.NewNotRun("no upstream can take the call", e.retryAt(pool))
 	for i, p := range e.isolatePeers(run, e.route(pool)) {
 		if i >= e.settings.Attempts || !run.MaySend() || (i > 0 && (!run.MayRepeat() || !e.retryBudget(pool.Name).Retry())) {
 			break
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -131,7 +131,7 @@
 	sentAt := time.Now()
 	a, err := s.service.do(ctx, p)
 	if err != nil {
-		return invokeResult{Outcome: Unknown, Reason: err.Error(), EndedWith: s.endedDuring(ctx, sentAt, err)}
+		return invokeResult{Outcome: Unknown, Reason: err.Error(), EndedIncarnation: s.endedDuring(ctx, sentAt, err)}
 	}
 	s.incarnations.markUp()
 	return doneResult(a)
@@ -346,7 +346,7 @@
 		return invokeResult{Outcome: NotRun, Reason: "upstream not reachable"}
 	default:
 		s.registry.markLost(c)
-		return invokeResult{Outcome: Unknown, Reason: "the upstream's answer was lost", EndedWith: s.endedDuring(sendCtx, sentAt, err)}
+		return invokeResult{Outcome: Unknown, Reason: "the upstream's answer was lost", EndedIncarnation: s.endedDuring(sendCtx, sentAt, err)}
 	}
 }
 
--- a/internal/sidecar/calls_test.go
+++ b/internal/sidecar/calls_test.go
@@ -269,7 +269,7 @@
 func TestRequestOfANewerConfigurationIsNotServedUnderAnOlderOne(t *testing.T) {
 	b := newCallFixture(t, false)
 	asked := make(chan struct{}, 1)
-	b.OnBehind = func(*peer.Conn) { asked <- struct{}{} }
+	b.OnConfigBehind = func(*peer.Conn) { asked <- struct{}{} }
 	if !b.configBehind(nil, 2) {
 		t.Error("a request of version 2 is served under version 1")
 	}
@@ -288,7 +288,7 @@
 func TestRequestOfANewerConfigurationWaitsForIt(t *testing.T) {
 	b := newCallFixture(t, false)
 	next := config.NewActive(b.active.Config(), 2, true, time.UnixMilli(1))
-	b.OnBehind = func(*peer.Conn) {
+	b.OnConfigBehind = func(*peer.Conn) {
 		time.Sleep(10 * time.Millisecond)
 		b.active = next
 	}
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -122,13 +122,13 @@
 	return p.end.Reason
 }
 
-// EndedWith returns the incarnation of the engine that ended while it ran the generation; empty if
+// EndedIncarnation returns the incarnation of the engine that ended while it ran the generation; empty if
 // none did.
-func (p Part) EndedWith() string {
+func (p Part) EndedIncarnation() string {
 	if p.end == nil {
 		return ""
 	}
-	return p.end.EndedWith
+	return p.end.EndedIncarnation
 }
 
 // Output returns the number of output tokens of an ended stream.
@@ -353,17 +353,17 @@
 	status  int
 	header  http.Header
 	body    []byte
-	// endedWith is the incarnation of the service that ended while it ran the call.
-	endedWith string
-	retryAt   time.Time
+	// endedIncarnation is the incarnation of the service that ended while it ran the call.
+	endedIncarnation string
+	retryAt          time.Time
 }
 
 // RetryAt returns when to retry a call that was not run; zero if that is unknown.
 func (r Result) RetryAt() time.Time { return r.retryAt }
 
-// EndedWith returns the incarnation of the service that ended while it ran the call; empty if none
+// EndedIncarnation returns the incarnation of the service that ended while it ran the call; empty if none
 // did.
-func (r Result) EndedWith() string { return r.endedWith }
+func (r Result) EndedIncarnation() string { return r.endedIncarnation }
 
 // Outcome returns whether the call ran.
 func (r Result) Outcome() Outcome { return r.outcome }
@@ -383,14 +383,14 @@
 // NewResult returns a result without an answer.
 func NewResult(o Outcome, reason string) Result { return Result{outcome: o, reason: reason} }
 
-// NewRefusal returns the result of a call that was not run.
-func NewRefusal(reason string, retryAt time.Time) Result {
+// NewNotRun returns the result of a call that was not run.
+func NewNotRun(reason string, retryAt time.Time) Result {
 	return Result{outcome: NotRun, reason: reason, retryAt: retryAt}
 }
 
 func (c *Client) result(r invokeResult) Result {
 	c.rec.Observe(r.Stamp)
-	out := Result{outcome: r.Outcome, reason: r.Reason, status: r.Status, header: r.Header, body: r.Body, endedWith: r.EndedWith}
+	out := Result{outcome: r.Outcome, reason: r.Reason, status: r.Status, header: r.Header, body: r.Body, endedIncarnation: r.EndedIncarnation}
 	if r.RetryAt > 0 {
 		out.retryAt = time.UnixMilli(r.RetryAt)
 	}
--- a/internal/sidecar/generation.go
+++ b/internal/sidecar/generation.go
@@ -117,7 +117,7 @@
 
 // finishLocked ends a generation that has not ended. It needs the lock.
 func (g *generation) finishLocked(whole bool, reason string) {
-	g.end = &endNote{Whole: whole, Reason: reason, EndedWith: g.endedIncarnation,
+	g.end = &endNote{Whole: whole, Reason: reason, EndedIncarnation: g.endedIncarnation,
 		Total: g.first + int64(len(g.choices)) - 1, Output: g.output, Usage: g.usage}
 	g.endedAt = time.Now()
 	if g.cancel != nil {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -28,10 +28,10 @@
 	URL string
 	// Decision describes the engine; unused beside a plain service.
 	Decision decision.Settings
-	// Grace is how long a generation without a receiver runs before it is cut.
-	Grace time.Duration
-	// Kept is how long an ended generation can still be resumed.
-	Kept time.Duration
+	// DetachGrace is how long a generation without a receiver runs before it is cut.
+	DetachGrace time.Duration
+	// KeepEnded is how long an ended generation can still be resumed.
+	KeepEnded time.Duration
 	// UnackedBytes and RetainedBytes bound the buffer of one stream.
 	UnackedBytes  int
 	RetainedBytes int
@@ -65,10 +65,10 @@
 	service      *serviceLink
 	incarnations *upstreamIncarnations
 	limiter      *upstreamLimiter
-	// OnBehind, if set before use, is called when a request has a newer configuration than the
+	// OnConfigBehind, if set before use, is called when a request has a newer configuration than the
 	// active one. It returns when the newer configuration was fetched or cannot be fetched.
-	OnBehind func(c *peer.Conn)
-	policies atomic.Pointer[policy.Set]
+	OnConfigBehind func(c *peer.Conn)
+	policies       atomic.Pointer[policy.Set]
 	// after calls f in its own goroutine once d has passed.
 	after func(d time.Duration, f func())
 
@@ -309,8 +309,8 @@
 	if v <= s.active().Version() {
 		return false
 	}
-	if s.OnBehind != nil {
-		s.OnBehind(c)
+	if s.OnConfigBehind != nil {
+		s.OnConfigBehind(c)
 	}
 	return v > s.active().Version()
 }
@@ -524,7 +524,7 @@
 	if !sub.g.detach(sub.d) {
 		return
 	}
-	s.after(s.settings.Grace, func() { sub.g.abandon(sub.d, reasonDetached) })
+	s.after(s.settings.DetachGrace, func() { sub.g.abandon(sub.d, reasonDetached) })
 }
 
 // deliver sends frames to one entry until the stream's end or until a newer receiver attaches.
@@ -625,7 +625,7 @@
 	defer s.mu.Unlock()
 	for id, g := range s.generations {
 		end, at := g.ended()
-		if end != nil && time.Since(at) > s.settings.Kept {
+		if end != nil && time.Since(at) > s.settings.KeepEnded {
 			delete(s.generations, id)
 		}
 	}
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -57,7 +57,7 @@
 	l := lease.New(oneRowTable(&platform.Row{}), "u", "i", lease.Settings{Term: time.Hour}, time.Now)
 	b.server = New(Settings{
 		Upstream: "u", URL: engine.URL, Decision: decision.Settings{Blocks: 1000, BlockTokens: 16},
-		Grace: time.Minute, Kept: time.Minute, UnackedBytes: 1 << 20, RetainedBytes: 1 << 17, CallWindow: time.Hour,
+		DetachGrace: time.Minute, KeepEnded: time.Minute, UnackedBytes: 1 << 20, RetainedBytes: 1 << 17, CallWindow: time.Hour,
 	}, membership.NewIdentity("s", membership.RoleSidecar, "a", "u", "i", time.Now()), l, events.Nop(),
 		NewMetrics(prometheus.NewRegistry()), func() *config.Active { return active }, time.Now)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sidecar/wire.go
+++ b/internal/sidecar/wire.go
@@ -71,9 +71,9 @@
 	Whole bool `json:"whole"`
 	// Reason is empty for a whole generation.
 	Reason string `json:"reason,omitempty"`
-	// EndedWith is the incarnation of the engine that ended while it ran the generation; empty if
+	// EndedIncarnation is the incarnation of the engine that ended while it ran the generation; empty if
 	// none did.
-	EndedWith string `json:"ended_with,omitempty"`
+	EndedIncarnation string `json:"ended_with,omitempty"`
 	// Total is the number of offsets of the generation.
 	Total int64 `json:"total"`
 	// Output is the number of output tokens.
@@ -121,9 +121,9 @@
 	Body    []byte       `json:"body,omitempty"`
 	RetryAt int64        `json:"retry_at,omitempty"`
 	Stamp   events.Stamp `json:"stamp"`
-	// EndedWith is the incarnation of the service that ended while it ran the call; empty if none
+	// EndedIncarnation is the incarnation of the service that ended while it ran the call; empty if none
 	// did.
-	EndedWith string `json:"ended_with,omitempty"`
+	EndedIncarnation string `json:"ended_with,omitempty"`
 	// Load is set only if the service accepts no more calls now.
 	Load *membership.Load `json:"load,omitempty"`
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -211,7 +211,7 @@
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Restore\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
 mutant held-sidecar-starts internal/sidecar/starts.go 's/u\.restarts, u\.down = u\.restarts\+1, false/u.down = false/' internal/sidecar TestUpstreamIncarnations
-mutant held-entry-generation internal/entry/completions.go 's/\t\te\.reportCrash\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
+mutant held-entry-generation internal/entry/completions.go 's/\t\te\.reportCrash\(j\.run, part\.EndedIncarnation\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.incarnations\.endedDuring\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.ResponseLost\(incarnation\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
