--- a/internal/belief/anchor.go
+++ b/internal/belief/anchor.go
@@ -8,9 +8,9 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// Anchored returns a store whose answers carry the time at which the store produced them, on this
+// WithAnswerTimes returns a store whose answers carry the time at which the store produced them, on this
 // process's steady clock. The time is a lower bound.
-func Anchored(store *platform.Store, now func() time.Time) *platform.Store {
+func WithAnswerTimes(store *platform.Store, now func() time.Time) *platform.Store {
 	var mu sync.Mutex
 	var a anchor
 	stamp := func(s platform.Snapshot, sent time.Time) platform.Snapshot {
--- a/internal/belief/behind.go
+++ b/internal/belief/behind.go
@@ -10,9 +10,9 @@
 // askDelay is how long others may have a later route table before this entry asks for it.
 const askDelay = 700 * time.Millisecond
 
-// Behind detects that an entry has had an older route table than others for too long. The zero
+// StaleTableDetector detects that an entry has had an older route table than others for too long. The zero
 // value is ready to use.
-type Behind struct {
+type StaleTableDetector struct {
 	mu sync.Mutex
 	// behindSince is when another entry first reported a table later than own, or when that table
 	// was last asked for; zero if there was none.
@@ -20,12 +20,12 @@
 	own         routetable.Version
 }
 
-// Hear processes the version of the route table that another entry has in force and reports whether
+// Observe processes the version of the route table that another entry has in force and reports whether
 // to ask it for its table, at most once per askDelay. own is the version in force here, which the
 // store last confirmed as the newest at the steady time confirmed. A change that the store is still
 // delivering is not asked for: the store must have confirmed own after another entry
 // reported the later table.
-func (b *Behind) Hear(own, heard routetable.Version, confirmed, now time.Time) bool {
+func (b *StaleTableDetector) Observe(own, heard routetable.Version, confirmed, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
--- a/internal/belief/behind_test.go
+++ b/internal/belief/behind_test.go
@@ -23,36 +23,36 @@
 		return r
 	}
 	up := newRoutes(whole(row(9, "59")))
-	if _, ok := up.Kept(); ok {
+	if _, ok := up.NewerThanStore(); ok {
 		t.Error("a row is kept although the store holds it")
 	}
 	up.Apply(platform.Snapshot{Restored: true, Records: []platform.Record{row(5, "52")}}, true)
-	kept, ok := up.Kept()
+	kept, ok := up.NewerThanStore()
 	if !ok || string(kept.Value) != "59" {
 		t.Fatalf("kept is %q, %v; want the later table", kept.Value, ok)
 	}
 	started := newRoutes(whole(row(5, "52")))
-	started.Learn("up", []platform.Record{kept})
+	started.Adopt("up", []platform.Record{kept})
 	if table, _ := started.Current(); table.Version() != 59 {
 		t.Errorf("version %d is in force, want 59", table.Version())
 	}
-	if kept, ok := started.Kept(); !ok || string(kept.Value) != "59" {
+	if kept, ok := started.NewerThanStore(); !ok || string(kept.Value) != "59" {
 		t.Error("the entry that learned the later table does not keep its row")
 	}
-	started.Learn("other", []platform.Record{row(5, "52"), row(6, "x"), {Name: "other", Value: []byte("70")}})
+	started.Adopt("other", []platform.Record{row(5, "52"), row(6, "x"), {Name: "other", Value: []byte("70")}})
 	if table, _ := started.Current(); table.Version() != 59 {
 		t.Errorf("version %d is in force after older and invalid tables, want 59", table.Version())
 	}
 	for _, r := range []*Routes{up, started} {
 		r.Apply(whole(row(8, "59")), false)
-		if _, ok := r.Kept(); ok {
+		if _, ok := r.NewerThanStore(); ok {
 			t.Error("a row is kept although the store holds it again")
 		}
 	}
 }
 
-func TestBehindAsksOnlyAfterADelay(t *testing.T) {
-	var b Behind
+func TestStaleTableIsReportedOnlyAfterADelay(t *testing.T) {
+	var b StaleTableDetector
 	at := time.Now()
 	for _, tc := range []struct {
 		name       string
@@ -73,7 +73,7 @@
 		{"behind again after catching up", 7, 8, askDelay, 0, false},
 	} {
 		at = at.Add(tc.after)
-		if got := b.Hear(routetable.Version(tc.own), routetable.Version(tc.heard), at.Add(-tc.unconfirmed), at); got != tc.want {
+		if got := b.Observe(routetable.Version(tc.own), routetable.Version(tc.heard), at.Add(-tc.unconfirmed), at); got != tc.want {
 			t.Errorf("%s: asks %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/belief/epochs_test.go
+++ b/internal/belief/epochs_test.go
@@ -22,7 +22,7 @@
 
 func newFollowerOfStandin() *followerOfStandin {
 	f := &followerOfStandin{rows: standin.NewRows(), applied: map[string]string{}, at: time.Now()}
-	f.Follower = New(Settings{Table: "t", Slack: time.Second, PauseLeast: time.Millisecond, PauseMost: time.Millisecond, SettleFor: 2 * time.Second},
+	f.Follower = New(Settings{Table: "t", CallSlack: time.Second, BackoffMin: time.Millisecond, BackoffMax: time.Millisecond, SettleFor: 2 * time.Second},
 		f.rows.Platform(), f.applySnapshot, func(time.Time) {}, func() {}, events.Nop(), func() time.Time { return f.at })
 	f.sleep = func(context.Context, time.Duration) {}
 	return f
--- a/internal/belief/follower.go
+++ b/internal/belief/follower.go
@@ -21,26 +21,26 @@
 type Settings struct {
 	// Table is the table to follow.
 	Table string
-	// Wait is how long the store may hold a call for changes. It bounds the interval between
+	// HoldTime is how long the store may hold a call for changes. It bounds the interval between
 	// confirmations while nothing changes.
-	Wait time.Duration
-	// Slack is added to Wait for the timeout of a call.
-	Slack time.Duration
-	// ListWithin is the timeout of a read of the whole table, which may take a call for each page.
-	ListWithin time.Duration
-	// PauseLeast and PauseMost bound the backoff after failed calls.
-	PauseLeast time.Duration
-	PauseMost  time.Duration
+	HoldTime time.Duration
+	// CallSlack is added to HoldTime for the timeout of a call.
+	CallSlack time.Duration
+	// ListTimeout is the timeout of a read of the whole table, which may take a call for each page.
+	ListTimeout time.Duration
+	// BackoffMin and BackoffMax bound the backoff after failed calls.
+	BackoffMin time.Duration
+	BackoffMax time.Duration
 	// SettleFor is how long after an outage the table may still lack rows: rows that expired while
 	// the store was unavailable need time to be written again.
 	SettleFor time.Duration
 	// RestoreFor is how long after a restore of the store from a backup lost rows may still be
 	// written again. After that the whole table is read once more.
 	RestoreFor time.Duration
-	// Gather is the pause after an answer with changes, so that changes close together share a
-	// call. It doubles while changes keep coming, up to GatherMost.
-	Gather     time.Duration
-	GatherMost time.Duration
+	// GatherDelay is the pause after an answer with changes, so that changes close together share a
+	// call. It doubles while changes keep coming, up to GatherDelayMax.
+	GatherDelay    time.Duration
+	GatherDelayMax time.Duration
 }
 
 // Follower follows one table of the store.
@@ -123,9 +123,9 @@
 // which the store produced the answer.
 func (f *Follower) poll(ctx context.Context) error {
 	sent, full := f.now(), f.needsWholeTable()
-	within := f.settings.Wait + f.settings.Slack
+	within := f.settings.HoldTime + f.settings.CallSlack
 	if full {
-		within = max(within, f.settings.ListWithin)
+		within = max(within, f.settings.ListTimeout)
 	}
 	ctx, cancel := context.WithDeadline(ctx, sent.Add(within))
 	defer cancel()
@@ -183,19 +183,19 @@
 	if took > burstWithin {
 		f.burst = 0
 	}
-	pause := min(f.settings.Gather<<min(f.burst, 16), max(f.settings.GatherMost, f.settings.Gather))
+	pause := min(f.settings.GatherDelay<<min(f.burst, 16), max(f.settings.GatherDelayMax, f.settings.GatherDelay))
 	f.burst++
 	return pause
 }
 
-// minHoldPart is the part of Wait for which the store may hold a call at least, so that calls do
+// minHoldPart is the part of HoldTime for which the store may hold a call at least, so that calls do
 // not follow each other without delay when answers arrive late.
 const minHoldPart = 0.25
 
 // holdTime returns how long the store may hold the next call: until the local state reaches an age
-// of Wait, so that the pause after an answer with changes is subtracted. Other entries read the
-// local state and accept it up to an age just above Wait; it would exceed that if the store held
-// the call for all of Wait after a pause of 200 ms. The first call after a failure is not held,
+// of HoldTime, so that the pause after an answer with changes is subtracted. Other entries read the
+// local state and accept it up to an age just above HoldTime; it would exceed that if the store held
+// the call for all of HoldTime after a pause of 200 ms. The first call after a failure is not held,
 // because callers wait for its confirmation.
 func (f *Follower) holdTime() time.Duration {
 	f.mu.Lock()
@@ -203,9 +203,9 @@
 	if f.failures > 0 {
 		return 0
 	}
-	remaining := f.settings.Wait - f.now().Sub(f.confirmed)
-	least := time.Duration(minHoldPart * float64(f.settings.Wait))
-	return min(max(remaining, least), f.settings.Wait)
+	remaining := f.settings.HoldTime - f.now().Sub(f.confirmed)
+	least := time.Duration(minHoldPart * float64(f.settings.HoldTime))
+	return min(max(remaining, least), f.settings.HoldTime)
 }
 
 // errOlderEpoch marks an answer from before the store was restored from a backup.
@@ -257,6 +257,6 @@
 		f.rec.Note(events.StoreLost, "", "table", f.settings.Table, "version", f.version, "confirmed-before", f.now().Sub(since), "error", err)
 		f.onLost()
 	}
-	backoff := min(f.settings.PauseLeast<<min(n-1, 16), f.settings.PauseMost)
+	backoff := min(f.settings.BackoffMin<<min(n-1, 16), f.settings.BackoffMax)
 	f.sleep(ctx, backoff/2+time.Duration(rand.Int64N(int64(backoff/2)+1)))
 }
--- a/internal/belief/follower_test.go
+++ b/internal/belief/follower_test.go
@@ -41,7 +41,7 @@
 			return next()
 		},
 	}
-	s.Follower = New(Settings{Table: "t", Wait: time.Second, Slack: time.Second, PauseLeast: time.Millisecond, PauseMost: time.Millisecond, SettleFor: 2 * time.Second},
+	s.Follower = New(Settings{Table: "t", HoldTime: time.Second, CallSlack: time.Second, BackoffMin: time.Millisecond, BackoffMax: time.Millisecond, SettleFor: 2 * time.Second},
 		store, func(snap platform.Snapshot, full bool) {
 			s.applied = append(s.applied, snap)
 			s.full = append(s.full, full)
@@ -97,7 +97,7 @@
 		s.at = s.at.Add(time.Second)
 		return slow(5)()
 	}
-	s.settings.Gather, s.settings.GatherMost = least, most
+	s.settings.GatherDelay, s.settings.GatherDelayMax = least, most
 	var pauses []time.Duration
 	s.sleep = func(_ context.Context, d time.Duration) { pauses = append(pauses, d) }
 	s.run(t)
@@ -141,7 +141,7 @@
 }
 
 // TestPauseAfterAChangeShortensTheNextHold checks that the state that a follower serves to others
-// does not grow older than Wait although it pauses after answers with changes.
+// does not grow older than HoldTime although it pauses after answers with changes.
 func TestPauseAfterAChangeShortensTheNextHold(t *testing.T) {
 	const pause = 200 * time.Millisecond
 	for _, tc := range []struct {
@@ -174,7 +174,7 @@
 // start from the beginning each time.
 func TestWholeTableReadHasItsOwnTimeout(t *testing.T) {
 	s := newScriptedFollower(answerWith(1, "a"), answerWith(2))
-	s.settings.ListWithin = time.Minute
+	s.settings.ListTimeout = time.Minute
 	var within []time.Duration
 	list, changes := s.store.List, s.store.Changes
 	note := func(ctx context.Context) {
--- a/internal/belief/routes.go
+++ b/internal/belief/routes.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Learn puts the table of another entry in force if it is later than the current one.
-func (r *Routes) Learn(entry string, records []platform.Record) {
+// Adopt puts the table of another entry in force if it is later than the current one.
+func (r *Routes) Adopt(entry string, records []platform.Record) {
 	for _, rec := range records {
 		if rec.Name != r.name || rec.Gone {
 			continue
@@ -124,9 +124,9 @@
 	r.activate(table, rec, "store")
 }
 
-// Kept returns the row of the table in force while the store holds an older one, as after a restore
+// NewerThanStore returns the row of the table in force while the store holds an older one, as after a restore
 // from a backup. Otherwise ok is false.
-func (r *Routes) Kept() (row platform.Record, ok bool) {
+func (r *Routes) NewerThanStore() (row platform.Record, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.row, r.older
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -208,7 +208,7 @@
 	source      *relay.Store
 	routes      *belief.Routes
 	// behind detects that other entries have later routes than the store.
-	behind belief.Behind
+	behind belief.StaleTableDetector
 	fleet  *fleet.Set
 	// upstreams applies the rows of the upstreams table to the fleet.
 	upstreams         *upstreamRows
@@ -239,7 +239,7 @@
 	log := newLogger(b.logWriter).WithValues("process", s.Name, "incarnation", b.incarnation)
 	b.rec = events.New(log, s.Name, b.incarnation, s.TimelineSize, time.Now)
 	b.reg.MustRegister(collectors.NewGoCollector())
-	b.store = belief.Anchored(platform.NewStore(s.Store, storeClient()), time.Now)
+	b.store = belief.WithAnswerTimes(platform.NewStore(s.Store, storeClient()), time.Now)
 	b.relayLog = relay.NewLog(time.Now)
 	b.source = relay.New(relay.Settings{
 		Name: s.Name, Zone: s.Zone, Size: s.size(), Delegates: delegateCount, ListedWithin: listedTimeout,
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -148,7 +148,7 @@
 	if !s.Confirmed.IsZero() {
 		b.routes.Confirm(s.Routes, s.Confirmed)
 	}
-	if table, confirmed := b.routes.Current(); table != nil && b.behind.Hear(table.Version(), s.Routes, confirmed, time.Now()) {
+	if table, confirmed := b.routes.Current(); table != nil && b.behind.Observe(table.Version(), s.Routes, confirmed, time.Now()) {
 		go b.fetchLaterRoutes(from)
 	}
 }
@@ -163,5 +163,5 @@
 		b.rec.Note(events.RelayFailed, "", "peer", from, "error", err)
 		return
 	}
-	b.routes.Learn(from, s.Records)
+	b.routes.Adopt(from, s.Records)
 }
--- a/internal/daemon/gatewaystore.go
+++ b/internal/daemon/gatewaystore.go
@@ -15,8 +15,8 @@
 
 func followSettings(table string, wait time.Duration) belief.Settings {
 	return belief.Settings{
-		Table: table, Wait: wait, Slack: followTimeoutMargin, ListWithin: followListTimeout,
-		PauseLeast: followBackoffMin, PauseMost: followBackoffMax, SettleFor: settleTime, RestoreFor: restoreTime, Gather: followBatchDelayMin, GatherMost: followBatchDelayMax,
+		Table: table, HoldTime: wait, CallSlack: followTimeoutMargin, ListTimeout: followListTimeout,
+		BackoffMin: followBackoffMin, BackoffMax: followBackoffMax, SettleFor: settleTime, RestoreFor: restoreTime, GatherDelay: followBatchDelayMin, GatherDelayMax: followBatchDelayMax,
 	}
 }
 
@@ -46,7 +46,7 @@
 	zones := belief.NewZones(platform.ClosedZone, b.fleet.CloseZones)
 	return func(s product.Snapshot, full bool) {
 		b.routes.Apply(s, full)
-		if row, ok := b.routes.Kept(); ok {
+		if row, ok := b.routes.NewerThanStore(); ok {
 			b.relayLog.Keep(platform.TableRoutes, row)
 		}
 		zones.Apply(s, full)
--- a/internal/relay/epochs_test.go
+++ b/internal/relay/epochs_test.go
@@ -86,13 +86,13 @@
 		m.source = New(Settings{
 			Name: m.name, Zone: "z", Delegates: 2, Wait: 60 * time.Millisecond, Slack: 200 * time.Millisecond, Stale: 400 * time.Millisecond,
 			AvoidFor: 100 * time.Millisecond, AvoidStaleFor: 50 * time.Millisecond, CallEach: time.Millisecond, RetryAfter: 200 * time.Millisecond,
-		}, belief.Anchored(f.storeFor(m), time.Now), m.log, func() []Peer { return f.others(m) }, closedChannel(), events.Nop(), time.Now)
+		}, belief.WithAnswerTimes(f.storeFor(m), time.Now), m.log, func() []Peer { return f.others(m) }, closedChannel(), events.Nop(), time.Now)
 		f.list = append(f.list, m)
 	}
 	for _, m := range f.list {
 		follower := belief.New(belief.Settings{
-			Table: table, Wait: 60 * time.Millisecond, Slack: 200 * time.Millisecond, ListWithin: 500 * time.Millisecond,
-			PauseLeast: 5 * time.Millisecond, PauseMost: 20 * time.Millisecond, SettleFor: 200 * time.Millisecond, Gather: time.Millisecond,
+			Table: table, HoldTime: 60 * time.Millisecond, CallSlack: 200 * time.Millisecond, ListTimeout: 500 * time.Millisecond,
+			BackoffMin: 5 * time.Millisecond, BackoffMax: 20 * time.Millisecond, SettleFor: 200 * time.Millisecond, GatherDelay: time.Millisecond,
 		}, m.source.Platform(), m.apply, func(time.Time) {}, func() {}, events.Nop(), time.Now)
 		go follower.Run(t.Context())
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -84,7 +84,7 @@
 mutant relay-turns internal/relay/store.go 's/if self \|\| s\.takeTurn\(\) \{/if self || s.takeTurn() || true {/' internal/relay TestStoreCallsAreBounded
 mutant relay-second-delegate internal/relay/store.go 's/for range maxAsked \{\n\t\tvar p Peer/for range 1 {\n\t\tvar p Peer/' internal/relay TestSecondDelegate
 mutant relay-told-anew internal/relay/log.go 's/t\.cachedChanges, t\.cachedTable = reply\{\}, reply\{\}/t.cachedTable = reply{}/' internal/relay TestRepliesAreEncodedOnce
-mutant follower-pause internal/belief/follower.go 's/f\.settings\.Wait - f\.now\(\)\.Sub\(f\.confirmed\)/f.settings.Wait/' internal/belief TestPauseAfterAChange
+mutant follower-pause internal/belief/follower.go 's/f\.settings\.HoldTime - f\.now\(\)\.Sub\(f\.confirmed\)/f.settings.HoldTime/' internal/belief TestPauseAfterAChange
 mutant fleet-closed internal/fleet/unreadable.go 's/ && !s\.closedZones\[m\.Zone\]//' internal/fleet TestClosedZone
 mutant fleet-closed-draw internal/fleet/set.go 's/m\.state == Serving && s\.acceptsWork\(m\)/m.state == Serving/' internal/fleet TestClosedZone
 mutant fleet-closed-lapsed internal/fleet/set.go 's/m\.state == Lapsed && s\.acceptsWork\(m\)/m.state == Lapsed/' internal/fleet TestClosedZone
