--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -37,9 +37,9 @@
 		Start: func(context.Context, *kernel.Registry) error {
 			b.directory = directory.New(directory.Settings{
 				Table: tableEntries, Name: b.settings.Name, Entry: b.ownEntry(),
-				Every: directoryInterval, ReadEach: directoryReadSpacing, Again: directoryRetryInterval, CallWithin: directoryCallTimeout, HeardWithin: directoryContactTimeout,
-				Together: b.settings.StartTogether, TogetherWithin: directoryFirstReadSpread, AloneWithin: directoryAlonePauseMax, ToldWithin: directoryPeersTimeout, WriteEach: directoryWriteSpacing,
-			}, b.store, directory.Others{Found: b.applyEntryList, Heard: b.liveEntries, Known: b.markListed}, directory.Carried{Value: b.encodeHeldRequests, Heard: b.recallHeldRequests}, b.rec, time.Now)
+				ReadInterval: directoryInterval, SharedReadInterval: directoryReadSpacing, RenewalRetryDelay: directoryRetryInterval, CallTimeout: directoryCallTimeout, ContactTimeout: directoryContactTimeout,
+				FirstDeployment: b.settings.StartTogether, FirstReadSpread: directoryFirstReadSpread, RereadDelayMax: directoryAlonePauseMax, IntroductionDelay: directoryPeersTimeout, SharedWriteInterval: directoryWriteSpacing,
+			}, b.store, directory.Callbacks{OnList: b.applyEntryList, ContactCount: b.liveEntries, OnReady: b.markListed}, directory.RowData{Value: b.encodeHeldRequests, OnRead: b.recallHeldRequests}, b.rec, time.Now)
 			go b.gossip.Run(b.ctx)
 			go b.directory.Run(b.ctx)
 			return nil
--- a/internal/directory/begin.go
+++ b/internal/directory/begin.go
@@ -16,8 +16,8 @@
 // hundred rows a second, and would refuse rows of hundreds of entries that start together. An entry
 // that finds no other writes its row at once and reads the list again.
 func (d *Directory) join(ctx context.Context) {
-	if d.settings.Together {
-		sleep(ctx, randomUpTo(d.settings.TogetherWithin))
+	if d.settings.FirstDeployment {
+		sleep(ctx, randomUpTo(d.settings.FirstReadSpread))
 	}
 	d.retry(ctx, d.read)
 	written := d.alone
@@ -25,17 +25,17 @@
 		d.retry(ctx, d.renew)
 		d.readAgainIfAlone(ctx)
 	} else {
-		d.others.Known()
-		d.awaitContact(ctx, d.settings.HeardWithin)
-		if d.others.Heard() == 0 {
+		d.callbacks.OnReady()
+		d.awaitContact(ctx, d.settings.ContactTimeout)
+		if d.callbacks.ContactCount() == 0 {
 			d.retry(ctx, d.renew)
 			d.retry(ctx, d.read)
 			written = true
 		}
 	}
-	d.others.Known()
+	d.callbacks.OnReady()
 	if !written {
-		d.awaitRenewalRequest(ctx, randomUpTo(time.Duration(max(d.listed, d.others.Heard()))*d.settings.WriteEach))
+		d.awaitRenewalRequest(ctx, randomUpTo(time.Duration(max(d.listed, d.callbacks.ContactCount()))*d.settings.SharedWriteInterval))
 		d.retry(ctx, d.renew)
 	}
 }
@@ -44,12 +44,12 @@
 // at the same moment. It reads the list again after a random delay. If another entry makes contact
 // during the delay, it only waits for that entry to tell it of the rest.
 func (d *Directory) readAgainIfAlone(ctx context.Context) {
-	d.awaitContact(ctx, randomUpTo(d.settings.AloneWithin))
-	if d.others.Heard() == 0 {
+	d.awaitContact(ctx, randomUpTo(d.settings.RereadDelayMax))
+	if d.callbacks.ContactCount() == 0 {
 		d.retry(ctx, d.read)
 		return
 	}
-	sleep(ctx, d.settings.ToldWithin)
+	sleep(ctx, d.settings.IntroductionDelay)
 }
 
 // randomUpTo returns a random duration between 0 and limit.
@@ -69,7 +69,7 @@
 
 // awaitContact returns when messages of another entry arrive, or after the timeout.
 func (d *Directory) awaitContact(ctx context.Context, timeout time.Duration) {
-	for remaining := timeout; remaining > 0 && ctx.Err() == nil && d.others.Heard() == 0; remaining -= contactPollInterval {
+	for remaining := timeout; remaining > 0 && ctx.Err() == nil && d.callbacks.ContactCount() == 0; remaining -= contactPollInterval {
 		sleep(ctx, min(remaining, contactPollInterval))
 	}
 }
--- a/internal/directory/begin_test.go
+++ b/internal/directory/begin_test.go
@@ -26,8 +26,8 @@
 		return list(ctx, table)
 	}
 	found := make(chan map[string]roster.Entry, 4)
-	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Hour, CallWithin: time.Second},
-		fake, othersNeverHeard(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
+	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: time.Hour, RenewalRetryDelay: time.Hour, CallTimeout: time.Second},
+		fake, noContact(func(a map[string]roster.Entry) { found <- a }), noRowData, events.Nop(), time.Now)
 	go d.Run(t.Context())
 	select {
 	case a := <-found:
--- a/internal/directory/carried_test.go
+++ b/internal/directory/carried_test.go
@@ -10,13 +10,13 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// othersNeverHeard returns the callbacks of an entry that never gets a message from another one.
-func othersNeverHeard(found func(map[string]roster.Entry)) Others {
-	return Others{Found: found, Heard: func() int { return 0 }, Known: func() {}}
+// noContact returns the callbacks of an entry that never gets a message from another one.
+func noContact(found func(map[string]roster.Entry)) Callbacks {
+	return Callbacks{OnList: found, ContactCount: func() int { return 0 }, OnReady: func() {}}
 }
 
-// nothingCarried is for entries without data to keep in their rows.
-var nothingCarried = Carried{Value: func() []byte { return nil }, Heard: func(string, []byte, time.Duration) {}}
+// noRowData is for entries without data to keep in their rows.
+var noRowData = RowData{Value: func() []byte { return nil }, OnRead: func(string, []byte, time.Duration) {}}
 
 // TestCarriedValueSurvivesTheLossOfAllEntries checks that an entry which starts after all others
 // have stopped reads the data in their rows, and in its own earlier row, before it overwrites its
@@ -32,9 +32,9 @@
 		store.rows[name] = b
 	}
 	heard, writes := map[string]time.Duration{}, make(chan []byte)
-	carried := Carried{
-		Value: func() []byte { return []byte("all") },
-		Heard: func(_ string, value []byte, age time.Duration) { heard[string(value)] = age },
+	carried := RowData{
+		Value:  func() []byte { return []byte("all") },
+		OnRead: func(_ string, value []byte, age time.Duration) { heard[string(value)] = age },
 	}
 	fake := store.platformStore()
 	put := fake.Put
@@ -48,8 +48,8 @@
 		}
 		return put(ctx, table, name, value)
 	}
-	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, CallWithin: time.Second},
-		fake, othersNeverHeard(func(map[string]roster.Entry) {}), carried, events.Nop(), time.Now)
+	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: time.Hour, CallTimeout: time.Second},
+		fake, noContact(func(map[string]roster.Entry) {}), carried, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -21,56 +21,56 @@
 	// Name and Entry describe this entry; its row is made from them.
 	Name  string
 	Entry roster.Entry
-	// Every is the minimum interval between two reads of the table. Each third read also renews the
+	// ReadInterval is the minimum interval between two reads of the table. Each third read also renews the
 	// own row.
-	Every time.Duration
-	// ReadEach is the minimum interval between the reads of all entries together. With many entries
-	// each one reads less often than Every.
-	ReadEach time.Duration
-	// Again is the delay before a failed renewal is retried. When hundreds of entries start
+	ReadInterval time.Duration
+	// SharedReadInterval is the minimum interval between the reads of all entries together. With many entries
+	// each one reads less often than ReadInterval.
+	SharedReadInterval time.Duration
+	// RenewalRetryDelay is the delay before a failed renewal is retried. When hundreds of entries start
 	// together, the store accepts only a few hundred rows a second and refuses the rest.
-	Again time.Duration
-	// CallWithin is the timeout of one call to the store.
-	CallWithin time.Duration
-	// HeardWithin is how long an entry that starts waits for a message from one of the listed
+	RenewalRetryDelay time.Duration
+	// CallTimeout is the timeout of one call to the store.
+	CallTimeout time.Duration
+	// ContactTimeout is how long an entry that starts waits for a message from one of the listed
 	// entries.
-	HeardWithin time.Duration
-	// Together is set when all entries of the deployment start for the first time. The table is
-	// empty then, so the first reads are spread over TogetherWithin: entries that read later find
+	ContactTimeout time.Duration
+	// FirstDeployment is set when all entries of the deployment start for the first time. The table is
+	// empty then, so the first reads are spread over FirstReadSpread: entries that read later find
 	// the rows of earlier ones.
-	Together       bool
-	TogetherWithin time.Duration
-	// AloneWithin is the maximum delay before an entry that found no other one reads the table
+	FirstDeployment bool
+	FirstReadSpread time.Duration
+	// RereadDelayMax is the maximum delay before an entry that found no other one reads the table
 	// again.
-	AloneWithin time.Duration
-	// ToldWithin is how long an entry in contact with another one takes to learn of the rest from
+	RereadDelayMax time.Duration
+	// IntroductionDelay is how long an entry in contact with another one takes to learn of the rest from
 	// it.
-	ToldWithin time.Duration
-	// WriteEach is the minimum interval between the writes of all entries together when they start.
-	WriteEach time.Duration
+	IntroductionDelay time.Duration
+	// SharedWriteInterval is the minimum interval between the writes of all entries together when they start.
+	SharedWriteInterval time.Duration
 }
 
-// Others holds the callbacks that connect a Directory to the entry's exchange of messages with the
+// Callbacks holds the callbacks that connect a Directory to the entry's exchange of messages with the
 // others.
-type Others struct {
-	// Found receives the listed entries by name after each read. They include this entry once its
+type Callbacks struct {
+	// OnList receives the listed entries by name after each read. They include this entry once its
 	// row is written.
-	Found func(listed map[string]roster.Entry)
-	// Heard returns the number of other entries whose messages arrive. Entries in contact tell each
+	OnList func(listed map[string]roster.Entry)
+	// ContactCount returns the number of other entries whose messages arrive. Entries in contact tell each
 	// other of further ones.
-	Heard func() int
-	// Known is called when the entry knows as many of the others as it can learn soon. It may be
+	ContactCount func() int
+	// OnReady is called when the entry knows as many of the others as it can learn soon. It may be
 	// called again.
-	Known func()
+	OnReady func()
 }
 
-// Carried holds the callbacks for data that entries keep in their rows, where it survives a stop of
+// RowData holds the callbacks for data that entries keep in their rows, where it survives a stop of
 // all entries at once.
-type Carried struct {
+type RowData struct {
 	// Value returns the data for this entry's row, or nil if there is none.
 	Value func() []byte
-	// Heard receives the data in an entry's row and the time since that row was written.
-	Heard func(entry string, value []byte, age time.Duration)
+	// OnRead receives the data in an entry's row and the time since that row was written.
+	OnRead func(entry string, value []byte, age time.Duration)
 }
 
 const (
@@ -88,12 +88,12 @@
 
 // Directory maintains this entry's row and reads the rows of the others.
 type Directory struct {
-	settings Settings
-	store    *platform.Store
-	others   Others
-	carried  Carried
-	rec      *events.Recorder
-	now      func() time.Time
+	settings  Settings
+	store     *platform.Store
+	callbacks Callbacks
+	rowData   RowData
+	rec       *events.Recorder
+	now       func() time.Time
 	// renewRequests holds a request of RenewSoon until this entry's row is written.
 	renewRequests chan struct{}
 
@@ -109,8 +109,8 @@
 }
 
 // New returns a Directory; Run starts its work.
-func New(settings Settings, store *platform.Store, others Others, carried Carried, rec *events.Recorder, now func() time.Time) *Directory {
-	return &Directory{settings: settings, store: store, others: others, carried: carried, rec: rec, now: now, renewRequests: make(chan struct{}, 1)}
+func New(settings Settings, store *platform.Store, callbacks Callbacks, rowData RowData, rec *events.Recorder, now func() time.Time) *Directory {
+	return &Directory{settings: settings, store: store, callbacks: callbacks, rowData: rowData, rec: rec, now: now, renewRequests: make(chan struct{}, 1)}
 }
 
 // RenewSoon requests that this entry's row be written again, because the data it carries has
@@ -130,7 +130,7 @@
 	for n := 1; ctx.Err() == nil; n++ {
 		interval := d.readInterval()
 		if renewalDue {
-			interval = min(interval, d.settings.Again)
+			interval = min(interval, d.settings.RenewalRetryDelay)
 		}
 		select {
 		case <-ctx.Done():
@@ -154,7 +154,7 @@
 // so the table serves only entries that start or have lost contact. If each of 350 entries read it
 // every 10 s, that would cost 35 calls a second.
 func (d *Directory) readInterval() time.Duration {
-	return max(d.settings.Every, time.Duration(d.listed)*d.settings.ReadEach)
+	return max(d.settings.ReadInterval, time.Duration(d.listed)*d.settings.SharedReadInterval)
 }
 
 // recordResult records whether the last call failed, and logs the first of consecutive failures.
@@ -172,14 +172,14 @@
 	e := d.settings.Entry
 	return row{
 		Address: e.Address, RenewedMS: clock.Milliseconds(), RenewsEachMS: (readsPerRenewal * d.readInterval()).Milliseconds(),
-		Relay: e.Relay, Zone: e.Zone, Cores: e.Size.Cores, LinkMbps: e.Size.LinkMbps, Carried: d.carried.Value(),
+		Relay: e.Relay, Zone: e.Zone, Cores: e.Size.Cores, LinkMbps: e.Size.LinkMbps, Carried: d.rowData.Value(),
 	}
 }
 
 // renew writes this entry's row. Its time is the store's clock at the last read, advanced by the
 // local clock.
 func (d *Directory) renew(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.settings.CallWithin)
+	ctx, cancel := context.WithTimeout(ctx, d.settings.CallTimeout)
 	defer cancel()
 	clock := d.clock + d.now().Sub(d.clockAt)
 	value, err := json.Marshal(d.row(clock))
@@ -192,13 +192,13 @@
 // removeOwnRow removes this entry's row in a planned stop. If the call fails, the row expires like
 // that of a crashed entry.
 func (d *Directory) removeOwnRow() {
-	ctx, cancel := context.WithTimeout(context.Background(), d.settings.CallWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.CallTimeout)
 	defer cancel()
 	d.recordResult(d.store.Remove(ctx, d.settings.Table, d.settings.Name))
 }
 
 func (d *Directory) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.settings.CallWithin)
+	ctx, cancel := context.WithTimeout(ctx, d.settings.CallTimeout)
 	defer cancel()
 	s, err := d.store.List(ctx, d.settings.Table)
 	if err != nil {
@@ -228,7 +228,7 @@
 			continue
 		}
 		if len(v.Carried) > 0 {
-			d.carried.Heard(r.Name, v.Carried, v.age(s.Clock))
+			d.rowData.OnRead(r.Name, v.Carried, v.age(s.Clock))
 		}
 		switch missed := v.missed(s.Clock); {
 		case missed > removeAfter:
@@ -241,6 +241,6 @@
 	d.listed = len(listed)
 	_, own := listed[d.settings.Name]
 	d.alone = d.listed == 0 || own && d.listed == 1
-	d.others.Found(listed)
+	d.callbacks.OnList(listed)
 	return expired
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -57,8 +57,8 @@
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
 	seam := store.platformStore()
 	found := make(chan map[string]roster.Entry, 4)
-	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, CallWithin: time.Second},
-		seam, othersNeverHeard(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
+	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: time.Hour, CallTimeout: time.Second},
+		seam, noContact(func(a map[string]roster.Entry) { found <- a }), noRowData, events.Nop(), time.Now)
 	put := seam.Put
 	seam.Put = func(ctx context.Context, table, name string, value []byte) error {
 		// The other entry writes its row at the same time.
@@ -93,8 +93,8 @@
 		defer close(written)
 		return put(ctx, table, name, value)
 	}
-	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Millisecond, CallWithin: time.Second},
-		seam, othersNeverHeard(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
+	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: time.Hour, RenewalRetryDelay: time.Millisecond, CallTimeout: time.Second},
+		seam, noContact(func(map[string]roster.Entry) {}), noRowData, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -121,8 +121,8 @@
 		}
 		return put(ctx, table, name, value)
 	}
-	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Millisecond, CallWithin: time.Second},
-		seam, othersNeverHeard(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
+	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: time.Hour, RenewalRetryDelay: time.Millisecond, CallTimeout: time.Second},
+		seam, noContact(func(map[string]roster.Entry) {}), noRowData, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -156,8 +156,8 @@
 	store.rows["odd"] = []byte("{")
 	at := time.Now()
 	var found map[string]roster.Entry
-	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: 10 * time.Second, CallWithin: time.Second},
-		store.platformStore(), othersNeverHeard(func(a map[string]roster.Entry) { found = a }), nothingCarried, events.Nop(), func() time.Time { return at })
+	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: 10 * time.Second, CallTimeout: time.Second},
+		store.platformStore(), noContact(func(a map[string]roster.Entry) { found = a }), noRowData, events.Nop(), func() time.Time { return at })
 	if err := d.read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -203,8 +203,8 @@
 				store.add(t, fmt.Sprintf("e%03d", i), clock)
 			}
 			var found int
-			d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: 10 * time.Second, ReadEach: 500 * time.Millisecond, CallWithin: time.Second},
-				store.platformStore(), othersNeverHeard(func(a map[string]roster.Entry) { found = len(a) }), nothingCarried, events.Nop(), time.Now)
+			d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: 10 * time.Second, SharedReadInterval: 500 * time.Millisecond, CallTimeout: time.Second},
+				store.platformStore(), noContact(func(a map[string]roster.Entry) { found = len(a) }), noRowData, events.Nop(), time.Now)
 			if err := d.read(t.Context()); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/directory/startup_test.go
+++ b/internal/directory/startup_test.go
@@ -83,16 +83,16 @@
 }
 
 // others returns the callbacks of an entry that contacts those that it finds.
-func (c *startupSim) others(name string, known func()) Others {
-	return Others{
-		Found: func(listed map[string]roster.Entry) {
+func (c *startupSim) others(name string, known func()) Callbacks {
+	return Callbacks{
+		OnList: func(listed map[string]roster.Entry) {
 			for other := range listed {
 				if other != name {
 					time.AfterFunc(simDatagramTime, func() { c.markHeard(name, other) })
 				}
 			}
 		},
-		Heard: func() int {
+		ContactCount: func() int {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.hasPeer[name] {
@@ -100,7 +100,7 @@
 			}
 			return 0
 		},
-		Known: known,
+		OnReady: known,
 	}
 }
 
@@ -146,9 +146,9 @@
 						last = max(last, time.Since(c.began))
 					}
 					go New(Settings{
-						Table: "entries", Name: name, Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Hour, CallWithin: 10 * time.Second,
-						HeardWithin: time.Second, Together: tc.first, TogetherWithin: time.Second, AloneWithin: 300 * time.Millisecond, ToldWithin: 50 * time.Millisecond, WriteEach: 10 * time.Millisecond,
-					}, c.platformStore(), c.others(name, sync.OnceFunc(known)), nothingCarried, events.Nop(), time.Now).Run(ctx)
+						Table: "entries", Name: name, Entry: roster.Entry{Address: "10.0.0.9:1"}, ReadInterval: time.Hour, RenewalRetryDelay: time.Hour, CallTimeout: 10 * time.Second,
+						ContactTimeout: time.Second, FirstDeployment: tc.first, FirstReadSpread: time.Second, RereadDelayMax: 300 * time.Millisecond, IntroductionDelay: 50 * time.Millisecond, SharedWriteInterval: 10 * time.Millisecond,
+					}, c.platformStore(), c.others(name, sync.OnceFunc(known)), noRowData, events.Nop(), time.Now).Run(ctx)
 				}
 				time.Sleep(30 * time.Second)
 				c.mu.Lock()
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -206,7 +206,7 @@
 mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.recordBrokenAnswer\(s\.rq, st\.at, err\)\n//' $gateway TestPoisonRequestIsQuarantined
 mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Merge\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
 mutant held-untold internal/gossip/message.go 's/Suspects: quarantine\.Encode\(s\.Suspects/Suspects: quarantine.Encode(s.Suspects[:0]/' platform/soak TestCrashingRequest
-mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedValueSurvives
+mutant held-carried internal/directory/directory.go 's/\t\t\td\.rowData\.OnRead\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedValueSurvives
 mutant held-renewed internal/directory/directory.go 's/\t\t\trenewalDue = true\n//' internal/directory TestCarriedValueSurvives
 mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Restore\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
@@ -275,7 +275,7 @@
 mutant start-asks internal/relay/store.go 's/\tfor range maxAsked \{\n\t\tp, ok, _ := s\.source\(\)\n\t\tif !ok \{/\tfor range maxAsked {\n\t\tp, ok, _ := s.source()\n\t\tif ok || !ok {/' internal/relay TestInitialListAsksDelegate
 mutant start-waits internal/relay/store.go 's/\ts\.awaitPeerList\(ctx\)\n//' internal/relay TestInitialListWaitsForPeers
 mutant start-held internal/relay/server.go 's/\t\tcase <-signals\.changed:\n\t\tcase <-end\.C:\n\t\t\treturn nil, err/\t\tcase <-signals.confirmed:\n\t\tdefault:\n\t\t\treturn nil, err/' internal/relay TestInitialListAsksDelegate
-mutant start-together internal/directory/begin.go 's/sleep\(ctx, randomUpTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
+mutant start-together internal/directory/begin.go 's/sleep\(ctx, randomUpTo\(d\.settings\.FirstReadSpread\)\)/_ = d.settings.FirstReadSpread/' internal/directory TestHundredsThatStartTogether
 mutant start-rows internal/directory/begin.go 's/\t\td\.awaitRenewalRequest\(ctx, randomUpTo\([^\n]*\n//; s/\/\/ awaitRenewalRequest returns/var _ = (*Directory).awaitRenewalRequest\n\n\/\/ awaitRenewalRequest returns/' internal/directory TestHundredsThatStartTogether
 mutant zone-delegates internal/roster/roster.go 's/return entries > maxDirectEntries/return entries < 0/' internal/relay TestRelayTopology
 mutant zone-size internal/roster/roster.go 's/cmp\.Compare\(b\.Size\.Cores, a\.Size\.Cores\), //' internal/roster TestDelegatesAreTheLargest
