--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -58,7 +58,7 @@
 	n := b.node
 	b.store = rollout.NewStore(n.settings.Name, n.settings.Zone, n.rec)
 	b.store.Validate = validate
-	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, Behind: b.behind, Suspects: b.peerSuspects}
+	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.behind, Suspects: b.peerSuspects}
 	b.client = sidecar.NewClient(n.rec)
 	methods := peer.Methods{}
 	maps.Copy(methods, b.store.Methods())
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -96,11 +96,11 @@
 
 func (n *node) timing() membership.Timing {
 	return membership.Timing{
-		List:      n.settings.VMsEvery,
-		Heartbeat: n.settings.Heartbeat,
-		Pings:     n.settings.Pings,
-		Suspect:   n.settings.SuspectAfter,
-		Lost:      n.settings.LostAfter,
+		List:         n.settings.VMsEvery,
+		Heartbeat:    n.settings.Heartbeat,
+		Pings:        n.settings.Pings,
+		SuspectAfter: n.settings.SuspectAfter,
+		LostAfter:    n.settings.LostAfter,
 	}
 }
 
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -55,7 +55,7 @@
 	n, s := b.node, b.settings
 	b.store = rollout.NewStore(n.settings.Name, n.settings.Zone, n.rec)
 	b.store.Validate = validate
-	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, Behind: b.behind}
+	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.behind}
 	noTargets := func(context.Context) ([]rollout.Target, error) { return nil, nil }
 	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, noTargets, n.rec, rollout.DefaultDeadlines(), now)
 	b.lease = lease.New(n.table, s.Upstream, n.identity.Incarnation(), lease.Settings{Term: s.LeaseTerm, Skew: s.Skew}, now)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -261,7 +261,7 @@
 	var candidates []routing.Candidate
 	for _, u := range pool.Upstreams {
 		p, ok := e.set.Upstream(u.Name)
-		if !ok || !p.Usable() || p.Load().OpensAt().After(e.now()) {
+		if !ok || !p.Usable() || p.Load().ClosedUntil().After(e.now()) {
 			continue
 		}
 		peers[u.Name] = p
@@ -285,7 +285,7 @@
 		if !ok || !p.Usable() {
 			continue
 		}
-		if at := p.Load().OpensAt(); at.After(e.now()) && (first.IsZero() || at.Before(first)) {
+		if at := p.Load().ClosedUntil(); at.After(e.now()) && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -35,9 +35,9 @@
 	UsedPermille int `json:"u,omitempty"`
 	// WaitMS is the expected wait of a new request in milliseconds.
 	WaitMS int64 `json:"q,omitempty"`
-	// OpensMS is the time until which the upstream accepts no new request, in Unix milliseconds; 0
+	// ClosedUntilMS is the time until which the upstream accepts no new request, in Unix milliseconds; 0
 	// if it accepts them now.
-	OpensMS int64 `json:"o,omitempty"`
+	ClosedUntilMS int64 `json:"o,omitempty"`
 	// AtMS is when the sidecar measured the load, in Unix milliseconds.
 	AtMS int64 `json:"a,omitempty"`
 }
@@ -45,13 +45,13 @@
 // At returns when the sidecar measured the load.
 func (l Load) At() time.Time { return time.UnixMilli(l.AtMS) }
 
-// OpensAt returns the time until which the upstream accepts no new request; zero if it accepts them
+// ClosedUntil returns the time until which the upstream accepts no new request; zero if it accepts them
 // now.
-func (l Load) OpensAt() time.Time {
-	if l.OpensMS == 0 {
+func (l Load) ClosedUntil() time.Time {
+	if l.ClosedUntilMS == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(l.OpensMS)
+	return time.UnixMilli(l.ClosedUntilMS)
 }
 
 const permille = 1000
@@ -109,11 +109,11 @@
 // each ping that is sent or answered, and Behind when a peer reports a higher configuration mark.
 // Suspects may be nil; it receives the suspect requests that another process reports.
 type Self struct {
-	Identity Identity
-	Recorder *events.Recorder
-	Status   func() Status
-	Behind   func(c *peer.Conn, m config.Mark)
-	Suspects func(process string, words []quarantine.Report)
+	Identity    Identity
+	Recorder    *events.Recorder
+	Status      func() Status
+	OnNewerMark func(c *peer.Conn, m config.Mark)
+	Suspects    func(process string, words []quarantine.Report)
 }
 
 const (
@@ -182,8 +182,8 @@
 	}
 	s.Recorder.Observe(p.Stamp)
 	status := s.Status()
-	if p.Mark > status.Mark && s.Behind != nil {
-		go s.Behind(c, p.Mark)
+	if p.Mark > status.Mark && s.OnNewerMark != nil {
+		go s.OnNewerMark(c, p.Mark)
 	}
 	s.receiveSuspects(p.Process, p.Suspects, p.Runs)
 	return pingResult{Mark: status.Mark, Leaving: status.Leaving, Load: status.Load, Stamp: s.Recorder.Now(), Suspects: quarantine.Encode(status.Suspects, time.Now()), Runs: quarantine.EncodeRuns(status.Suspects)}, nil
--- a/internal/membership/set.go
+++ b/internal/membership/set.go
@@ -26,17 +26,17 @@
 	// Pings limits the pings per second to all peers together, so that the cost of a process does
 	// not grow with the deployment. A peer in use is probed as soon as it is silent; see Probe.
 	Pings float64
-	// Suspect is how long a ping may be unanswered before the peer gets no new work.
-	Suspect time.Duration
-	// Lost is how long a ping may be unanswered before the connection to the peer is closed.
-	Lost time.Duration
+	// SuspectAfter is how long a ping may be unanswered before the peer gets no new work.
+	SuspectAfter time.Duration
+	// LostAfter is how long a ping may be unanswered before the connection to the peer is closed.
+	LostAfter time.Duration
 }
 
 // DefaultTiming returns the values that apply unless a setting overrides them.
 func DefaultTiming() Timing {
 	return Timing{
 		List: time.Second, Heartbeat: 500 * time.Millisecond, Pings: 10,
-		Suspect: 700 * time.Millisecond, Lost: 3 * time.Second,
+		SuspectAfter: 700 * time.Millisecond, LostAfter: 3 * time.Second,
 	}
 }
 
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	callCtx, cancel := context.WithTimeout(ctx, s.timing.Lost)
+	callCtx, cancel := context.WithTimeout(ctx, s.timing.LostAfter)
 	defer cancel()
 	var h helloResult
 	if err := c.Call(callCtx, methodHello, struct{}{}, &h); err != nil {
@@ -339,9 +339,9 @@
 	// finished is guarded by the peer's lock. Stopping the timer does not stop a callback that has
 	// already begun, and that callback must not suspect a peer whose answer was processed.
 	finished := false
-	stop := s.afterFunc(s.timing.Suspect, func() { s.suspect(p, &finished) })
+	stop := s.afterFunc(s.timing.SuspectAfter, func() { s.suspect(p, &finished) })
 	defer stop()
-	callCtx, cancel := context.WithTimeout(ctx, s.timing.Lost)
+	callCtx, cancel := context.WithTimeout(ctx, s.timing.LostAfter)
 	defer cancel()
 	var r pingResult
 	status := s.self.Status()
@@ -363,8 +363,8 @@
 		return false
 	}
 	s.self.Recorder.Observe(r.Stamp)
-	if r.Mark > mark && s.self.Behind != nil {
-		go s.self.Behind(c, r.Mark)
+	if r.Mark > mark && s.self.OnNewerMark != nil {
+		go s.self.OnNewerMark(c, r.Mark)
 	}
 	p.suspected = false
 	p.leaving = p.leaving || r.Leaving
--- a/internal/scenario/capacity_test.go
+++ b/internal/scenario/capacity_test.go
@@ -74,7 +74,7 @@
 		Status: func() membership.Status {
 			return membership.Status{Mark: store.Mark(), Load: membership.Load{Running: 17, UsedPermille: 500, AtMS: time.Now().UnixMilli()}}
 		},
-		Behind: func(pc *peer.Conn, _ config.Mark) { _ = store.CatchUp(c.ctx, pc) },
+		OnNewerMark: func(pc *peer.Conn, _ config.Mark) { _ = store.CatchUp(c.ctx, pc) },
 	}
 	m := self.Methods()
 	for k, v := range store.Methods() {
--- a/internal/sidecar/limit_test.go
+++ b/internal/sidecar/limit_test.go
@@ -77,7 +77,7 @@
 	for time.Since(begun) < time.Second {
 		if r := l.repeatable(t); r.Outcome == NotRun {
 			refused++
-			if r.RetryAt == 0 || r.Load == nil || r.Load.OpensMS == 0 || r.Reason != reasonRateLimited {
+			if r.RetryAt == 0 || r.Load == nil || r.Load.ClosedUntilMS == 0 || r.Reason != reasonRateLimited {
 				t.Fatalf("refused with %+v, want a reason and a retry time", r)
 			}
 		}
@@ -96,7 +96,7 @@
 			t.Fatalf("a call is %s after the limit was lifted: %s", r.Outcome, r.Reason)
 		}
 	}
-	if l.server.Load().OpensMS != 0 {
+	if l.server.Load().ClosedUntilMS != 0 {
 		t.Error("entries are told of a limit that was lifted")
 	}
 }
@@ -173,7 +173,7 @@
 		if err := b.conn.Call(t.Context(), methodGenerate, generateParams{Sub: sub, Path: "/" + strconv.Itoa(int(sub)), Prompt: 10}, &r); err != nil {
 			t.Fatal(err)
 		}
-		if r.Refused == nil || !r.Refused.Elsewhere || r.Refused.RetryAt == 0 || r.Load.OpensMS == 0 {
+		if r.Refused == nil || !r.Refused.Elsewhere || r.Refused.RetryAt == 0 || r.Load.ClosedUntilMS == 0 {
 			t.Errorf("answered %+v, want it refused for another engine", r.Refused)
 		}
 	}
--- a/internal/sidecar/notice_test.go
+++ b/internal/sidecar/notice_test.go
@@ -50,7 +50,7 @@
 	for time.Since(askedAt) < 2*time.Second-maxPermitWait-200*time.Millisecond {
 		for _, call := range []func(*testing.T) invokeResult{n.repeatable, n.nonRepeatable} {
 			r := call(t)
-			if r.Outcome != NotRun || r.RetryAt == 0 || r.Load == nil || r.Load.OpensMS == 0 {
+			if r.Outcome != NotRun || r.RetryAt == 0 || r.Load == nil || r.Load.ClosedUntilMS == 0 {
 				t.Fatalf("a call is %+v, want it refused without a run and with a retry time", r)
 			}
 			if back := time.UnixMilli(r.RetryAt).Sub(askedAt); back < 1900*time.Millisecond || back > 2100*time.Millisecond {
@@ -63,7 +63,7 @@
 		t.Errorf("the service got %d calls during its backoff, want none", runs-1)
 	}
 	time.Sleep(time.Until(askedAt.Add(2100 * time.Millisecond)))
-	if r := n.repeatable(t); r.Outcome != Done || n.server.Load().OpensMS != 0 {
+	if r := n.repeatable(t); r.Outcome != Done || n.server.Load().ClosedUntilMS != 0 {
 		t.Errorf("a call is %s after the backoff: %s", r.Outcome, r.Reason)
 	}
 }
@@ -120,7 +120,7 @@
 	if runs := n.runs.Load(); runs != 1 {
 		t.Errorf("the service got %d calls after its answer, want none", runs-1)
 	}
-	if n.server.Load().OpensMS == 0 {
+	if n.server.Load().ClosedUntilMS == 0 {
 		t.Error("entries are not told to send calls elsewhere")
 	}
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -208,7 +208,7 @@
 func (s *Server) Load() membership.Load {
 	load := s.runner.load()
 	if at := s.limiter.opensAt(); at.After(s.now()) {
-		load.OpensMS = at.UnixMilli()
+		load.ClosedUntilMS = at.UnixMilli()
 	}
 	return load
 }
