--- a/internal/relay/source.go
+++ b/internal/relay/source.go
@@ -57,7 +57,7 @@
 // suitable peers.
 func (s *Store) pickPeer(ordered []Peer, n int) (chosen Peer, ok, self bool) {
 	for group := range slices.Chunk(ordered, n) {
-		begin := roster.Pick(s.settings.Name, len(group))
+		begin := roster.StartIndex(s.settings.Name, len(group))
 		for i := range group {
 			p := group[(begin+i)%len(group)]
 			if p.Name == s.settings.Name {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -80,9 +80,9 @@
 	return inZone[:min(ZoneDelegates(len(inZone)), len(inZone))]
 }
 
-// Pick returns the index, below n, at which an entry starts to try n equal delegates. It is a hash
+// StartIndex returns the index, below n, at which an entry starts to try n equal delegates. It is a hash
 // of the name, which spreads the entries of a zone over its delegates. n must not be 0.
-func Pick(name string, n int) int {
+func StartIndex(name string, n int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	return int(h.Sum32() % uint32(n))
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -46,7 +46,7 @@
 			}
 			asked := make([]int, delegates)
 			for i := range n {
-				asked[Pick(fmt.Sprintf("front-%d", i), delegates)]++
+				asked[StartIndex(fmt.Sprintf("front-%d", i), delegates)]++
 			}
 			if most := slices.Max(asked); n > 60 && most > 2*n/delegates {
 				t.Errorf("%d of %d entries ask one of %d delegates", most, n, delegates)
