--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -75,7 +75,7 @@
 		return connlimit.Limits{}
 	}
 	limits := table.Limits()
-	return connlimit.Limits{Header: limits.HeaderWithin, Idle: limits.IdleWithin}
+	return connlimit.Limits{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout}
 }
 
 // listenService returns a service that serves HTTP at an address.
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -88,10 +88,10 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderWithin is the timeout for receiving the headers of a request.
-	HeaderWithin time.Duration
-	// IdleWithin is how long an idle connection of a caller is kept open.
-	IdleWithin time.Duration
+	// HeaderTimeout is the timeout for receiving the headers of a request.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long an idle connection of a caller is kept open.
+	IdleTimeout time.Duration
 }
 
 // Account is a client account with its API keys.
