--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -242,8 +242,8 @@
 	b.store = belief.WithAnswerTimes(platform.NewStore(s.Store, storeClient()), time.Now)
 	b.relayLog = relay.NewLog(time.Now)
 	b.source = relay.New(relay.Settings{
-		Name: s.Name, Zone: s.Zone, Size: s.size(), Delegates: delegateCount, ListedWithin: listedTimeout,
-		Wait: relayWait, Slack: relayTimeoutMargin, Stale: relayMaxAge, AvoidFor: relayAvoidFailed, AvoidStaleFor: relayAvoidStale, CallEach: relayCallInterval, RetryAfter: relayRetryInterval,
+		Name: s.Name, Zone: s.Zone, Size: s.size(), Delegates: delegateCount, PeerListTimeout: listedTimeout,
+		Wait: relayWait, Slack: relayTimeoutMargin, MaxAge: relayMaxAge, AvoidFor: relayAvoidFailed, AvoidStaleFor: relayAvoidStale, StoreCallInterval: relayCallInterval, RetryAfter: relayRetryInterval,
 	}, b.store, b.relayLog, b.relayPeers, b.listed, b.rec, time.Now)
 	b.routes = belief.NewRoutes(platform.RowRoutes, platform.DecodeRoutes, b.rec, time.Now)
 	b.fleet = fleet.New(b.rec, time.Now, func(id string) { b.gateway.Evacuate(id) })
--- a/internal/daemon/gatewaystore.go
+++ b/internal/daemon/gatewaystore.go
@@ -47,7 +47,7 @@
 	return func(s product.Snapshot, full bool) {
 		b.routes.Apply(s, full)
 		if row, ok := b.routes.NewerThanStore(); ok {
-			b.relayLog.Keep(platform.TableRoutes, row)
+			b.relayLog.OverrideRow(platform.TableRoutes, row)
 		}
 		zones.Apply(s, full)
 		if s.Restored {
--- a/internal/relay/epochs_test.go
+++ b/internal/relay/epochs_test.go
@@ -84,8 +84,8 @@
 		t.Cleanup(server.Close)
 		m.addr = server.Addr()
 		m.source = New(Settings{
-			Name: m.name, Zone: "z", Delegates: 2, Wait: 60 * time.Millisecond, Slack: 200 * time.Millisecond, Stale: 400 * time.Millisecond,
-			AvoidFor: 100 * time.Millisecond, AvoidStaleFor: 50 * time.Millisecond, CallEach: time.Millisecond, RetryAfter: 200 * time.Millisecond,
+			Name: m.name, Zone: "z", Delegates: 2, Wait: 60 * time.Millisecond, Slack: 200 * time.Millisecond, MaxAge: 400 * time.Millisecond,
+			AvoidFor: 100 * time.Millisecond, AvoidStaleFor: 50 * time.Millisecond, StoreCallInterval: time.Millisecond, RetryAfter: 200 * time.Millisecond,
 		}, belief.WithAnswerTimes(f.storeFor(m), time.Now), m.log, func() []Peer { return f.others(m) }, closedChannel(), events.Nop(), time.Now)
 		f.list = append(f.list, m)
 	}
@@ -268,7 +268,7 @@
 
 // A row that was kept in place of an older one is relayed to peers that list the table, until the
 // store has a later one.
-func TestKeptRowIsRelayed(t *testing.T) {
+func TestOverriddenRowIsRelayed(t *testing.T) {
 	value := func(l *Log) string {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -276,7 +276,7 @@
 	}
 	l := NewLog(time.Now)
 	l.apply(table, platform.Snapshot{Epoch: 2, Version: 36, Records: []platform.Record{{Name: "config", Version: 5, Value: []byte("52")}}}, true)
-	l.Keep(table, platform.Record{Name: "config", Version: 39, Value: []byte("59")})
+	l.OverrideRow(table, platform.Record{Name: "config", Version: 39, Value: []byte("59")})
 	if got := value(l); got != "59" {
 		t.Errorf("relayed row is %s, want the kept one", got)
 	}
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -152,9 +152,9 @@
 	return l.table(table).epoch
 }
 
-// Keep replaces a row that the store restored in an older version. Peers that ask this entry get
+// OverrideRow replaces a row that the store restored in an older version. Peers that ask this entry get
 // the kept row until the store has a later one.
-func (l *Log) Keep(table string, row platform.Record) {
+func (l *Log) OverrideRow(table string, row platform.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.table(table)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -80,7 +80,7 @@
 		e.server.Start()
 		t.Cleanup(e.server.Close)
 		e.addr = e.server.Addr()
-		e.source = New(Settings{Name: name, Zone: "z", Delegates: 1, Wait: 100 * time.Millisecond, Slack: time.Second, Stale: 5 * time.Second, AvoidFor: time.Minute, AvoidStaleFor: time.Minute, RetryAfter: time.Minute},
+		e.source = New(Settings{Name: name, Zone: "z", Delegates: 1, Wait: 100 * time.Millisecond, Slack: time.Second, MaxAge: 5 * time.Second, AvoidFor: time.Minute, AvoidStaleFor: time.Minute, RetryAfter: time.Minute},
 			e.store.platformStore(), e.log, func() []Peer { return d.others(name) }, closedChannel(), events.Nop(), time.Now)
 		e.relayed = e.source.Platform()
 		d.entries = append(d.entries, e)
@@ -300,7 +300,7 @@
 	now := time.Now()
 	for i, e := range d.entries {
 		e.source.random = rand.New(rand.NewPCG(uint64(i), 1)).Float64
-		e.source.settings.CallEach, e.source.settings.RetryAfter = 50*time.Millisecond, time.Hour
+		e.source.settings.StoreCallInterval, e.source.settings.RetryAfter = 50*time.Millisecond, time.Hour
 		e.source.now = func() time.Time { return now }
 		e.source.dial = func(context.Context, string) (*peer.Conn, error) { return nil, errDown }
 		e.store.down = true
@@ -347,7 +347,7 @@
 	for _, e := range d.entries {
 		e.source.settings.Wait = 2 * time.Second
 		e.log.mu.Lock()
-		e.log.table(table).made = time.Now().Add(left - e.source.settings.Stale)
+		e.log.table(table).made = time.Now().Add(left - e.source.settings.MaxAge)
 		e.log.mu.Unlock()
 	}
 	start := time.Now()
@@ -515,7 +515,7 @@
 	}
 	ctx, giveUp := context.WithCancel(t.Context())
 	giveUp()
-	b.source.settings.Wait = b.source.settings.Stale
+	b.source.settings.Wait = b.source.settings.MaxAge
 	if _, err := b.source.askChanges(ctx, d.others("b")[0], table, 5); !errors.Is(err, context.Canceled) {
 		t.Fatalf("error %v, want %v", err, context.Canceled)
 	}
--- a/internal/relay/starts_test.go
+++ b/internal/relay/starts_test.go
@@ -78,7 +78,7 @@
 	d.list()
 	b := d.entries[1].source
 	known := make(chan struct{})
-	b.peersReady, b.settings.ListedWithin = known, 10*time.Second
+	b.peersReady, b.settings.PeerListTimeout = known, 10*time.Second
 	others := b.peers
 	b.peers = func() []Peer {
 		select {
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -31,20 +31,20 @@
 	Wait time.Duration
 	// Slack is the time beyond Wait after which a call to a peer times out.
 	Slack time.Duration
-	// Stale is the age from which the answer of a peer is not used any more.
-	Stale time.Duration
+	// MaxAge is the age from which the answer of a peer is not used any more.
+	MaxAge time.Duration
 	// AvoidFor is how long a peer is not asked after a failed call, and AvoidStaleFor after an
 	// answer that was too old.
 	AvoidFor      time.Duration
 	AvoidStaleFor time.Duration
-	// CallEach is the mean time between two calls to the store, over all entries that are not
+	// StoreCallInterval is the mean time between two calls to the store, over all entries that are not
 	// delegates and get no answer from a peer.
-	CallEach time.Duration
+	StoreCallInterval time.Duration
 	// RetryAfter is the time after which an entry that failed to reach the store may be a delegate
 	// again.
 	RetryAfter time.Duration
-	// ListedWithin bounds how long an entry waits at its start for the list of its peers.
-	ListedWithin time.Duration
+	// PeerListTimeout bounds how long an entry waits at its start for the list of its peers.
+	PeerListTimeout time.Duration
 }
 
 // Peer is another entry that can be asked.
@@ -112,7 +112,7 @@
 		if !ok {
 			break
 		}
-		if snap, err := s.askList(ctx, p, table, s.settings.Stale); err == nil {
+		if snap, err := s.askList(ctx, p, table, s.settings.MaxAge); err == nil {
 			return snap, nil
 		}
 	}
@@ -157,10 +157,10 @@
 // errUnknownPeer is wrapped when the named entry is not among the live peers.
 var errUnknownPeer = errors.New("entry is not among the live peers")
 
-// awaitPeerList waits until the list of peers was read, at most ListedWithin. Without the wait,
+// awaitPeerList waits until the list of peers was read, at most PeerListTimeout. Without the wait,
 // each of hundreds of entries that start together would read its tables from the store.
 func (s *Store) awaitPeerList(ctx context.Context) {
-	t := time.NewTimer(s.settings.ListedWithin)
+	t := time.NewTimer(s.settings.PeerListTimeout)
 	defer t.Stop()
 	select {
 	case <-s.peersReady:
@@ -198,7 +198,7 @@
 			return snap, nil
 		}
 	}
-	err := ErrNotAsked
+	err := ErrNotOwnTurn
 	if self || s.takeTurn() {
 		var snap platform.Snapshot
 		snap, err = s.direct.Changes(ctx, table, after, wait)
@@ -212,7 +212,7 @@
 		}
 	}
 	s.log.markFailed(table)
-	for _, p := range s.freshest(s.settings.Stale) {
+	for _, p := range s.freshest(s.settings.MaxAge) {
 		if snap, relayed := s.askChanges(ctx, p, table, after); relayed == nil {
 			return snap, nil
 		}
@@ -223,7 +223,7 @@
 // askChanges asks a peer for changes and applies its answer.
 func (s *Store) askChanges(ctx context.Context, p Peer, table string, after int64) (platform.Snapshot, error) {
 	params := changesParams{Table: table, After: after, Epoch: s.log.epoch(table), WaitMS: s.longPollWait(table).Milliseconds()}
-	snap, err := s.ask(ctx, p, methodChanges, table, params, s.settings.Stale)
+	snap, err := s.ask(ctx, p, methodChanges, table, params, s.settings.MaxAge)
 	if err == nil {
 		s.applyChanges(table, p.Name, snap)
 	}
@@ -245,14 +245,14 @@
 const minLongPollWait = 20 * time.Millisecond
 
 // longPollWait returns how long a peer may hold a long poll for changes. It is no longer than the
-// time until the copy here reaches the age Stale, because a delegate that has just lost the store
+// time until the copy here reaches the age MaxAge, because a delegate that has just lost the store
 // would hold the poll for longer.
 func (s *Store) longPollWait(table string) time.Duration {
 	made := s.log.made(table)
 	if made.IsZero() {
 		return s.settings.Wait
 	}
-	left := s.settings.Stale - s.now().Sub(made)
+	left := s.settings.MaxAge - s.now().Sub(made)
 	return min(max(left, minLongPollWait), s.settings.Wait)
 }
 
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// ErrNotAsked is returned if no peer can answer and it is not the turn of this entry to call the
+// ErrNotOwnTurn is returned if no peer can answer and it is not the turn of this entry to call the
 // store.
-var ErrNotAsked = errors.New("no peer answered, and it is not the turn of this entry to call the store")
+var ErrNotOwnTurn = errors.New("no peer answered, and it is not the turn of this entry to call the store")
 
 // maxTurnTakers is the number of entries that take turns at calling the store. The others wait
 // until one of these can answer them. If each of hundreds had a turn, an entry that gets no answer
@@ -30,7 +30,7 @@
 
 // turnDue reports whether the turn of this entry has come, and schedules the next one if so.
 func (s *Store) turnDue() bool {
-	cycle := float64(min(len(s.peers()), maxTurnTakers)) * float64(s.settings.CallEach)
+	cycle := float64(min(len(s.peers()), maxTurnTakers)) * float64(s.settings.StoreCallInterval)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
--- a/internal/relay/zones_test.go
+++ b/internal/relay/zones_test.go
@@ -171,7 +171,7 @@
 			for _, s := range f.sources {
 				i++
 				s.now, s.random, s.storeFailedAt = func() time.Time { return now }, rand.New(rand.NewPCG(i, 1)).Float64, now
-				s.settings.CallEach, s.settings.RetryAfter = each, time.Hour
+				s.settings.StoreCallInterval, s.settings.RetryAfter = each, time.Hour
 			}
 			calls, tookTurn := 0, map[string]bool{}
 			for range away / step {
