--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -249,7 +249,7 @@
 	b.fleet = fleet.New(b.rec, time.Now, func(id string) { b.gateway.Evacuate(id) })
 	b.upstreams = newUpstreamRows(platform.DecodeUpstream, b.fleet, newBadRows(events.UpstreamRejected, platform.Reason, b.reg, b.rec, time.Now))
 	proto := platform.NewProtocol()
-	b.pool = link.New(link.Settings{DialWithin: dialTimeout, IdleUnknown: defaultUpstreamIdle, IdleMargin: upstreamIdleMargin, HeadWithin: cancelledHeadTimeout, IDHeader: proto.IDHeader}, dialer(), time.Now)
+	b.pool = link.New(link.Settings{DialTimeout: dialTimeout, DefaultIdleTimeout: defaultUpstreamIdle, IdleMargin: upstreamIdleMargin, HeadGrace: cancelledHeadTimeout, IDHeader: proto.IDHeader}, dialer(), time.Now)
 	b.gateway = gateway.New(gateway.Settings{
 		Name: s.Name, Incarnation: b.incarnation, Zone: s.Zone, MaxRoutesAge: s.KeyBound - keyBoundMargin, HardKeyBound: s.KeyBoundHard,
 		RetryRatio: s.RetryRatio * retryBudgetShare, RetryExtra: s.RetryExtra * retryBudgetShare, RetryWindow: s.RetryWindow,
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -142,7 +142,7 @@
 		SendSoon: func() {}, SendNow: func() {}, LivePeers: func() map[string]gossip.Peer { return nil },
 		Delay: func(string, bool) time.Duration { return 0 }, DeliveryTimes: func() (delivery, silence time.Duration) { return 0, 0 },
 	}
-	return gateway.New(gateway.Settings{MaxRoutesAge: time.Minute, RetryWindow: time.Second}, routes, set, link.New(link.Settings{DialWithin: time.Second}, dial, time.Now), proto, others, events.Nop(), prometheus.NewRegistry(), time.Now)
+	return gateway.New(gateway.Settings{MaxRoutesAge: time.Minute, RetryWindow: time.Second}, routes, set, link.New(link.Settings{DialTimeout: time.Second}, dial, time.Now), proto, others, events.Nop(), prometheus.NewRegistry(), time.Now)
 }
 
 // expectRefusal sends a request to a gateway without routes, which refuses it.
--- a/internal/gateway/crashing.go
+++ b/internal/gateway/crashing.go
@@ -73,7 +73,7 @@
 // have broken off an answer for other reasons. A timeout decides nothing; the upstream's record in
 // the store may show later whether it crashed.
 func (g *Gateway) probeCrash(upstream fleet.Upstream) {
-	err := g.link.Reach(context.Background(), upstream.Address)
+	err := g.link.CheckReachable(context.Background(), upstream.Address)
 	g.mu.Lock()
 	delete(g.probing, upstream.ID)
 	g.mu.Unlock()
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -193,7 +193,7 @@
 	f.routes = belief.NewRoutes("routes", decode, f.rec, time.Now)
 	f.fleet = fleet.New(f.rec, time.Now, func(id string) { f.gateway.Evacuate(id) })
 	d := &net.Dialer{}
-	pool := link.New(link.Settings{DialWithin: time.Second, IdleUnknown: time.Minute, HeadWithin: testHeadWithin, IDHeader: testID},
+	pool := link.New(link.Settings{DialTimeout: time.Second, DefaultIdleTimeout: time.Minute, HeadGrace: testHeadWithin, IDHeader: testID},
 		func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp4", address)
 		}, time.Now)
--- a/internal/gateway/lateanswer_test.go
+++ b/internal/gateway/lateanswer_test.go
@@ -27,7 +27,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			d := &net.Dialer{}
-			f.gateway.link = link.New(link.Settings{DialWithin: time.Second, IdleUnknown: time.Minute, IDHeader: testID}, func(ctx context.Context, address string) (net.Conn, error) {
+			f.gateway.link = link.New(link.Settings{DialTimeout: time.Second, DefaultIdleTimeout: time.Minute, IDHeader: testID}, func(ctx context.Context, address string) (net.Conn, error) {
 				c, err := d.DialContext(ctx, "tcp4", address)
 				if err != nil {
 					return nil, err
--- a/internal/link/late_test.go
+++ b/internal/link/late_test.go
@@ -25,7 +25,7 @@
 // stalledPool returns a Pool whose connections block reads until resume is closed.
 func stalledPool(resume chan struct{}) *Pool {
 	d := &net.Dialer{}
-	return New(Settings{DialWithin: time.Second, IdleUnknown: time.Minute, IDHeader: "X-Id"},
+	return New(Settings{DialTimeout: time.Second, DefaultIdleTimeout: time.Minute, IDHeader: "X-Id"},
 		func(ctx context.Context, address string) (net.Conn, error) {
 			c, err := d.DialContext(ctx, "tcp4", address)
 			if err != nil {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -29,17 +29,17 @@
 
 // Settings are the fixed parameters of a Pool.
 type Settings struct {
-	// DialWithin bounds the time for opening a new connection.
-	DialWithin time.Duration
-	// IdleUnknown is how long an idle connection is kept if the upstream does not state its idle
+	// DialTimeout bounds the time for opening a new connection.
+	DialTimeout time.Duration
+	// DefaultIdleTimeout is how long an idle connection is kept if the upstream does not state its idle
 	// timeout.
-	IdleUnknown time.Duration
+	DefaultIdleTimeout time.Duration
 	// IdleMargin is subtracted from the idle timeout that an upstream states, so that no request
 	// is sent while the upstream closes the connection.
 	IdleMargin time.Duration
-	// HeadWithin is how long after the cancellation of a request the head of its answer is still
+	// HeadGrace is how long after the cancellation of a request the head of its answer is still
 	// awaited. The head may hold information about the upstream that counts for later requests.
-	HeadWithin time.Duration
+	HeadGrace time.Duration
 	// IDHeader is the response header that holds the identifier of the request.
 	IDHeader string
 }
@@ -84,8 +84,8 @@
 	Body   []byte
 	// ID is the identifier that the answer is expected to carry; empty for none.
 	ID string
-	// Fresh requests a new connection instead of an idle one.
-	Fresh bool
+	// NewConnection requests a new connection instead of an idle one.
+	NewConnection bool
 }
 
 // Answer is the head of an upstream's answer; the body is read with Read. Close must be called
@@ -109,9 +109,9 @@
 
 // Do sends one request and reads the head of its answer. When ctx ends, also while the body is
 // read, bytes received by then can still be read, and the connection is closed. If ctx is
-// cancelled before the head was read, this happens HeadWithin later.
+// cancelled before the head was read, this happens HeadGrace later.
 func (p *Pool) Do(ctx context.Context, address string, req Request) (*Answer, error) {
-	c, err := p.connect(ctx, address, req.Fresh)
+	c, err := p.connect(ctx, address, req.NewConnection)
 	if err != nil {
 		return nil, err
 	}
@@ -136,7 +136,7 @@
 		c.expire()
 		return
 	}
-	time.AfterFunc(p.settings.HeadWithin, c.expire)
+	time.AfterFunc(p.settings.HeadGrace, c.expire)
 }
 
 // connect returns an idle connection that is still usable, or opens a new one.
@@ -146,7 +146,7 @@
 			return c, nil
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.settings.DialWithin)
+	ctx, cancel := context.WithTimeout(ctx, p.settings.DialTimeout)
 	defer cancel()
 	nc, err := p.dial(ctx, address)
 	if err != nil {
@@ -156,9 +156,9 @@
 	return &conn{deadlineConn: dc, address: address, r: bufio.NewReaderSize(dc, readBufferSize)}, nil
 }
 
-// Reach opens a connection to an address and closes it. It returns an error if nothing accepts
+// CheckReachable opens a connection to an address and closes it. It returns an error if nothing accepts
 // connections there.
-func (p *Pool) Reach(ctx context.Context, address string) error {
+func (p *Pool) CheckReachable(ctx context.Context, address string) error {
 	c, err := p.connect(ctx, address, true)
 	if err != nil {
 		return err
@@ -360,5 +360,5 @@
 		}
 		return max(time.Duration(n)*time.Second-p.settings.IdleMargin, 0)
 	}
-	return p.settings.IdleUnknown
+	return p.settings.DefaultIdleTimeout
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -44,7 +44,7 @@
 
 func newPool() *Pool {
 	d := &net.Dialer{}
-	return New(Settings{DialWithin: time.Second, IdleUnknown: time.Minute, IdleMargin: 700 * time.Millisecond, IDHeader: "X-Id"},
+	return New(Settings{DialTimeout: time.Second, DefaultIdleTimeout: time.Minute, IdleMargin: 700 * time.Millisecond, IDHeader: "X-Id"},
 		func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp4", address)
 		}, time.Now)
