--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -63,7 +63,7 @@
 	methods := peer.Methods{}
 	maps.Copy(methods, b.store.Methods())
 	maps.Copy(methods, b.client.Methods())
-	b.set = membership.NewSet(b.self, n.vms, n.timing(), methods.Guarded(recordPanics(n.rec)))
+	b.set = membership.NewSet(b.self, n.vms, n.timing(), methods.WithRecovery(recordPanics(n.rec)))
 	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, rollout.TargetsOf(b.set), n.rec, rollout.DefaultDeadlines(), now)
 	b.entry = entry.New(entry.Settings{
 		Zone: n.settings.Zone, MaxBody: b.settings.MaxBody, StartWithin: b.settings.StartWithin,
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -145,7 +145,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", flag, err)
 			}
-			return peer.NewServer(l, m.Guarded(recordPanics(rec)), onOpen(r)), nil
+			return peer.NewServer(l, m.WithRecovery(recordPanics(rec)), onOpen(r)), nil
 		},
 		Start: func(_ context.Context, r *kernel.Registry) error {
 			s, err := kernel.Lookup[*peer.Server](r, servicePeers)
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -41,9 +41,9 @@
 // Methods maps method names to their handlers.
 type Methods map[string]Handler
 
-// Guarded returns the methods with handlers that recover from panics. The remote side then gets an
+// WithRecovery returns the methods with handlers that recover from panics. The remote side then gets an
 // error, and note is called with the method and the error.
-func (m Methods) Guarded(note func(method string, err error)) Methods {
+func (m Methods) WithRecovery(note func(method string, err error)) Methods {
 	out := make(Methods, len(m))
 	for method, h := range m {
 		out[method] = func(ctx context.Context, c *Conn, params json.RawMessage) (result any, err error) {
--- a/internal/peer/fault_test.go
+++ b/internal/peer/fault_test.go
@@ -15,7 +15,7 @@
 	s := startServer(t, Methods{
 		"oops": panicking,
 		"ok":   func(context.Context, *Conn, json.RawMessage) (any, error) { return 1, nil },
-	}.Guarded(func(method string, _ error) { noted <- method }))
+	}.WithRecovery(func(method string, _ error) { noted <- method }))
 	c, err := Dial(t.Context(), s.Addr(), nil)
 	if err != nil {
 		t.Fatal(err)
