--- a/internal/callid/callid.go
+++ b/internal/callid/callid.go
@@ -42,8 +42,8 @@
 // String returns the identifier as given by the caller.
 func (i ID) String() string { return i.text }
 
-// Ticket reports whether the identifier is a ticket, which is bound to one incarnation.
-func (i ID) Ticket() bool { return i.upstream != "" }
+// IsTicket reports whether the identifier is a ticket, which is bound to one incarnation.
+func (i ID) IsTicket() bool { return i.upstream != "" }
 
 // Upstream returns the upstream that a ticket is bound to, empty for a key.
 func (i ID) Upstream() string { return i.upstream }
@@ -107,10 +107,10 @@
 	return time.UnixMilli(ms)
 }
 
-// Home returns the upstream of the pool that is responsible for a key: the one with the highest
+// HomeUpstream returns the upstream of the pool that is responsible for a key: the one with the highest
 // hash. It is the same in every process with the same configuration, and removing an upstream
 // moves only the keys of that upstream.
-func Home(key string, pool *config.Pool) string {
+func HomeUpstream(key string, pool *config.Pool) string {
 	best, bestScore := "", uint64(0)
 	for _, u := range pool.Upstreams {
 		score := xxhash.Sum64String(u.Name + "\x00" + key)
--- a/internal/callid/callid_test.go
+++ b/internal/callid/callid_test.go
@@ -46,7 +46,7 @@
 func TestTicketRoundTrip(t *testing.T) {
 	made := NewTicket("led.x", "i1")
 	read, err := Parse(made.String())
-	if err != nil || read.Upstream() != "led.x" || read.Incarnation() != "i1" || !read.Ticket() {
+	if err != nil || read.Upstream() != "led.x" || read.Incarnation() != "i1" || !read.IsTicket() {
 		t.Errorf("Parse(%s) = %+v, %v", made, read, err)
 	}
 }
@@ -60,7 +60,7 @@
 	share := map[string]int{}
 	for i := range 1000 {
 		key := fmt.Sprint("k", i)
-		was, is := Home(key, full), Home(key, less)
+		was, is := HomeUpstream(key, full), HomeUpstream(key, less)
 		share[was]++
 		if was != "u4" && was != is {
 			t.Fatalf("key %s moved from %s to %s", key, was, is)
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -129,10 +129,10 @@
 
 // responsibleUpstream returns the upstream that may run the call with an ID.
 func (e *Entry) responsibleUpstream(id callid.ID, pool *config.Pool) string {
-	if id.Ticket() {
+	if id.IsTicket() {
 		return id.Upstream()
 	}
-	return callid.Home(id.String(), pool)
+	return callid.HomeUpstream(id.String(), pool)
 }
 
 // placeNewCall chooses an upstream for a call without an ID and creates a ticket for it.
@@ -196,14 +196,14 @@
 // currentResponsibleUpstream returns the upstream that is responsible for a call by the active configuration,
 // which may have changed since the call was sent.
 func (e *Entry) currentResponsibleUpstream(pl placedCall) string {
-	if pl.id.Ticket() {
+	if pl.id.IsTicket() {
 		return pl.id.Upstream()
 	}
 	pool, ok := e.store.Active().Config().Pool(pl.call.Pool)
 	if !ok {
 		return ""
 	}
-	return callid.Home(pl.id.String(), pool)
+	return callid.HomeUpstream(pl.id.String(), pool)
 }
 
 // runRepeatable sends a call that may run more than once to one upstream after another, within the retry
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -248,7 +248,7 @@
 // mayRun reports whether this incarnation may run the identifier, that is, whether no other upstream
 // or incarnation can have run it or still run it.
 func (s *Server) mayRun(id callid.ID, pool string, v config.Version) (invokeResult, bool) {
-	if id.Ticket() {
+	if id.IsTicket() {
 		return s.mayRunTicket(id)
 	}
 	return s.mayRunKey(id, pool, v)
@@ -267,7 +267,7 @@
 	}
 	active := s.active()
 	pool, ok := active.Config().Pool(poolName)
-	if !ok || v != active.Version() || callid.Home(id.String(), pool) != s.settings.Upstream {
+	if !ok || v != active.Version() || callid.HomeUpstream(id.String(), pool) != s.settings.Upstream {
 		return unknown("another upstream may be the key's home")
 	}
 	if !s.lease.Valid() {
@@ -326,7 +326,7 @@
 		s.registry.markNotRun(c)
 		return invokeResult{Outcome: NotRun, Reason: "deadline has passed"}
 	}
-	if !id.Ticket() && !s.lease.Valid() {
+	if !id.IsTicket() && !s.lease.Valid() {
 		s.registry.markNotRun(c)
 		return invokeResult{Outcome: Unknown, Reason: "lease ran out before the send"}
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -10,7 +10,7 @@
 mutant call-record internal/sidecar/callbook.go 's/if !ok \{\n\t\tc = &call\{state: callStarted/if !ok || ok {\n\t\tc = &call{state: callStarted/' internal/sidecar TestSecondCopyOfACall
 mutant call-age $calls 's/case issued\.Before\(exclusiveSince\.Add\(s\.settings\.Skew\)\):/case false:/' internal/sidecar TestIncarnationRunsOnlyKeys
 mutant call-lease $calls 's/if !s\.lease\.Valid\(\) \{\n\t\treturn unknown/if false {\n\t\treturn unknown/' internal/sidecar TestSettleWithoutLease
-mutant call-last-look $calls 's/if !id\.Ticket\(\) && !s\.lease\.Valid\(\)/if false/' internal/sidecar TestDeadlineAndLease
+mutant call-last-look $calls 's/if !id\.IsTicket\(\) && !s\.lease\.Valid\(\)/if false/' internal/sidecar TestDeadlineAndLease
 mutant call-deadline $calls 's/if p\.StartBy > 0 && s\.now/if false && s.now/' internal/sidecar TestDeadlineAndLease
 mutant call-ticket-bound $calls 's/ \|\| id\.Incarnation\(\) != s\.identity\.Incarnation\(\)//' internal/sidecar TestIncarnationRunsOnlyKeys
 mutant settle-tombstone internal/sidecar/callbook.go 's/c = &call\{state: callTombstone, expiresAt[^\n]*\n\t\tr\.calls\[id\] = c/c = &call{state: callTombstone}/' internal/sidecar TestSettleBars
