--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -166,7 +166,7 @@
 
 // Idle waits until no request is in flight. It returns false if ctx ends first.
 func (e *Entry) Idle(ctx context.Context) bool {
-	return e.inFlight.Idle(ctx)
+	return e.inFlight.WaitIdle(ctx)
 }
 
 // callerRequest is an authenticated request with its ID, its account and the configuration to serve it by.
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// pollInterval is how often Idle checks the counter. Draining is not urgent, so polling is enough.
+// pollInterval is how often WaitIdle checks the counter. Draining is not urgent, so polling is enough.
 const pollInterval = 20 * time.Millisecond
 
 // Counter counts requests in flight. The zero value is ready to use.
@@ -21,8 +21,8 @@
 // Leave counts a request that ends.
 func (c *Counter) Leave() { c.n.Add(-1) }
 
-// Idle waits until no request is in flight. It returns false if ctx ends first.
-func (c *Counter) Idle(ctx context.Context) bool {
+// WaitIdle waits until no request is in flight. It returns false if ctx ends first.
+func (c *Counter) WaitIdle(ctx context.Context) bool {
 	for c.n.Load() > 0 {
 		select {
 		case <-ctx.Done():
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestIdleDuringConcurrentEnterLeave calls Idle while other goroutines enter and leave.
-func TestIdleDuringConcurrentEnterLeave(t *testing.T) {
+// TestWaitIdleDuringConcurrentEnterLeave calls WaitIdle while other goroutines enter and leave.
+func TestWaitIdleDuringConcurrentEnterLeave(t *testing.T) {
 	var c Counter
 	var workers sync.WaitGroup
 	for range 8 {
@@ -21,25 +21,25 @@
 		})
 	}
 	for range 50 {
-		c.Idle(t.Context())
+		c.WaitIdle(t.Context())
 	}
 	workers.Wait()
-	if !c.Idle(t.Context()) {
+	if !c.WaitIdle(t.Context()) {
 		t.Error("not idle after all goroutines have left")
 	}
 }
 
-func TestIdleReturnsFalseAtDeadline(t *testing.T) {
+func TestWaitIdleReturnsFalseAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Counter
 		c.Enter()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if c.Idle(ctx) {
+		if c.WaitIdle(ctx) {
 			t.Error("idle with one request in flight")
 		}
 		c.Leave()
-		if !c.Idle(t.Context()) {
+		if !c.WaitIdle(t.Context()) {
 			t.Error("not idle with no request in flight")
 		}
 	})
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -167,7 +167,7 @@
 
 // Idle waits until nothing is in flight; it returns false if ctx ends first.
 func (s *Server) Idle(ctx context.Context) bool {
-	return s.inFlight.Idle(ctx) && s.delivered(ctx)
+	return s.inFlight.WaitIdle(ctx) && s.delivered(ctx)
 }
 
 const deliveredPollPeriod = 20 * time.Millisecond
