--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -19,8 +19,8 @@
 // ErrInvalid is wrapped by every error about the content of a configuration.
 var ErrInvalid = errors.New("invalid configuration")
 
-// Fault is an error at one place of a configuration file.
-type Fault struct {
+// ValidationError is an error at one place of a configuration file.
+type ValidationError struct {
 	file  string
 	line  int
 	field string
@@ -28,15 +28,15 @@
 }
 
 // Error returns the file, line and field of the error and its description.
-func (f Fault) Error() string {
+func (f ValidationError) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.field, f.text)
 }
 
-// Faults lists all errors found in a configuration file.
-type Faults []Fault
+// ValidationErrors lists all errors found in a configuration file.
+type ValidationErrors []ValidationError
 
 // Error returns the errors, one on each line.
-func (f Faults) Error() string {
+func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].Error()
@@ -44,8 +44,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns ErrInvalid, so that errors.Is recognizes Faults.
-func (f Faults) Unwrap() error { return ErrInvalid }
+// Unwrap returns ErrInvalid, so that errors.Is recognizes ValidationErrors.
+func (f ValidationErrors) Unwrap() error { return ErrInvalid }
 
 const (
 	maxAccounts  = 100_000
@@ -55,7 +55,7 @@
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]*$`)
 
 // Parse parses and checks a configuration in YAML. file is the file name that errors contain. The error is
-// a Faults value with all errors found.
+// a ValidationErrors value with all errors found.
 func Parse(file string, source []byte) (*Config, error) {
 	c := &Config{source: source}
 	if err := yaml.UnmarshalWithOptions(source, &c.doc, yaml.Strict()); err != nil {
@@ -93,7 +93,7 @@
 }
 
 func syntaxFaults(file string, err error) error {
-	f := Fault{file: file, field: "syntax", text: err.Error()}
+	f := ValidationError{file: file, field: "syntax", text: err.Error()}
 	var y yaml.Error
 	if errors.As(err, &y) {
 		f.text = y.GetMessage()
@@ -102,7 +102,7 @@
 			f.field = tok.Value
 		}
 	}
-	return Faults{f}
+	return ValidationErrors{f}
 }
 
 func (c *Config) index() {
@@ -140,7 +140,7 @@
 	source []byte
 	// root is the syntax tree of source. It is parsed when the first error needs a line number.
 	root   *ast.File
-	faults Faults
+	faults ValidationErrors
 }
 
 // syntaxTree returns the syntax tree of the source, nil if the source cannot be parsed.
@@ -153,7 +153,7 @@
 
 // addFault adds an error about the field at a YAML path.
 func (k *checker) addFault(path, format string, args ...any) {
-	f := Fault{file: k.file, field: strings.TrimPrefix(path, "$."), text: fmt.Sprintf(format, args...)}
+	f := ValidationError{file: k.file, field: strings.TrimPrefix(path, "$."), text: fmt.Sprintf(format, args...)}
 	if p, err := yaml.PathString(path); err == nil && k.syntaxTree() != nil {
 		if n, err := p.FilterFile(k.syntaxTree()); err == nil {
 			f.line = n.GetToken().Position.Line
@@ -167,7 +167,7 @@
 	k.models(c)
 	k.accounts(c)
 	k.policies(c)
-	slices.SortStableFunc(k.faults, func(a, b Fault) int { return a.line - b.line })
+	slices.SortStableFunc(k.faults, func(a, b ValidationError) int { return a.line - b.line })
 }
 
 func (k *checker) name(path, name string, seen map[string]bool) {
