--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -129,7 +129,7 @@
 // keepLease renews the lease and logs when it is acquired and lost.
 func (b *sidecarBuilder) keepLease(ctx context.Context) {
 	held := false
-	b.lease.Keep(ctx, func(valid bool, err error) {
+	b.lease.RenewUntilDone(ctx, func(valid bool, err error) {
 		switch {
 		case valid && !held:
 			b.node.rec.Note(events.LeaseAcquired, "", "fence", b.lease.Fence())
--- a/internal/lease/keep.go
+++ b/internal/lease/keep.go
@@ -16,10 +16,10 @@
 	maxRetryDelay = 32 * time.Second
 )
 
-// Keep renews the lease well before its deadline until ctx ends. After an error it retries with
-// exponential backoff. All delays have jitter. Keep calls report after each attempt with whether the lease
-// is held and the error of the attempt.
-func (l *Lease) Keep(ctx context.Context, report func(held bool, err error)) {
+// RenewUntilDone renews the lease well before its deadline until ctx ends. After an error it retries with
+// exponential backoff. All delays have jitter. RenewUntilDone calls report after each attempt with whether
+// the lease is held and the error of the attempt.
+func (l *Lease) RenewUntilDone(ctx context.Context, report func(held bool, err error)) {
 	retryDelay := minRetryDelay
 	for {
 		err := l.Renew(ctx)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -76,8 +76,8 @@
 	return l.since
 }
 
-// First reports whether no other process has ever held the lease.
-func (l *Lease) First() bool {
+// FirstHolder reports whether no other process has ever held the lease.
+func (l *Lease) FirstHolder() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.first
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -56,8 +56,8 @@
 		f := &fakeTable{}
 		a := New(f.table(), "u", "a", settings, time.Now)
 		b := New(f.table(), "u", "b", settings, time.Now)
-		if err := a.Renew(t.Context()); err != nil || !a.Valid() || !a.First() || a.Fence() != 1 {
-			t.Fatalf("first holder: %v, valid %v, first %v, fence %d", err, a.Valid(), a.First(), a.Fence())
+		if err := a.Renew(t.Context()); err != nil || !a.Valid() || !a.FirstHolder() || a.Fence() != 1 {
+			t.Fatalf("first holder: %v, valid %v, first %v, fence %d", err, a.Valid(), a.FirstHolder(), a.Fence())
 		}
 		for range 60 {
 			if err := b.Renew(t.Context()); !errors.Is(err, ErrHeld) {
@@ -72,8 +72,8 @@
 			t.Error("the lease outlived its term")
 		}
 		time.Sleep(settings.Skew)
-		if err := b.Renew(t.Context()); err != nil || !b.Valid() || b.First() || b.Fence() != 2 {
-			t.Errorf("successor: %v, valid %v, first %v, fence %d", err, b.Valid(), b.First(), b.Fence())
+		if err := b.Renew(t.Context()); err != nil || !b.Valid() || b.FirstHolder() || b.Fence() != 2 {
+			t.Errorf("successor: %v, valid %v, first %v, fence %d", err, b.Valid(), b.FirstHolder(), b.Fence())
 		}
 		if err := a.Renew(t.Context()); !errors.Is(err, ErrHeld) {
 			t.Errorf("old holder: %v", err)
@@ -170,7 +170,7 @@
 		var wg sync.WaitGroup
 		start := func(i int) {
 			l := New(table, fmt.Sprint("u", i), fmt.Sprint("h", i), Settings{Term: 10 * time.Minute, Skew: time.Second}, time.Now)
-			wg.Go(func() { l.Keep(ctx, func(bool, error) {}) })
+			wg.Go(func() { l.RenewUntilDone(ctx, func(bool, error) {}) })
 		}
 		for i := range sidecars {
 			start(i)
--- a/internal/lease/restored_test.go
+++ b/internal/lease/restored_test.go
@@ -37,14 +37,14 @@
 				f.row = tc.restoredRow(before, first)
 				time.Sleep(settings.Term / renewalsPerTerm)
 				renew(t, b)
-				if b.First() || !b.Since().Equal(since) || b.Fence() != fence {
-					t.Errorf("first %v, since %s later, fence %d; want the lease from before the restore, fence %d", b.First(), b.Since().Sub(since), b.Fence(), fence)
+				if b.FirstHolder() || !b.Since().Equal(since) || b.Fence() != fence {
+					t.Errorf("first %v, since %s later, fence %d; want the lease from before the restore, fence %d", b.FirstHolder(), b.Since().Sub(since), b.Fence(), fence)
 				}
 				time.Sleep(settings.Term + settings.Skew)
 				c := New(f.table(), "u", "c", settings, time.Now)
 				renew(t, c)
-				if c.First() || c.Fence() <= fence {
-					t.Errorf("next holder: first %v, fence %d, want a fence above %d", c.First(), c.Fence(), fence)
+				if c.FirstHolder() || c.Fence() <= fence {
+					t.Errorf("next holder: first %v, fence %d, want a fence above %d", c.FirstHolder(), c.Fence(), fence)
 				}
 			})
 		})
@@ -63,8 +63,8 @@
 		since, fence := b.Since(), b.Fence()
 		f.row = empty
 		renew(t, b)
-		if b.First() || !b.Since().After(since) || b.Fence() <= fence {
-			t.Errorf("first %v, since %s later, fence %d; want a new lease", b.First(), b.Since().Sub(since), b.Fence())
+		if b.FirstHolder() || !b.Since().After(since) || b.Fence() <= fence {
+			t.Errorf("first %v, since %s later, fence %d; want a new lease", b.FirstHolder(), b.Since().Sub(since), b.Fence())
 		}
 	})
 }
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -296,7 +296,7 @@
 // home of a key whose home is this upstream.
 func (s *Server) exclusiveSince(active *config.Active) time.Time {
 	var since time.Time
-	if !s.lease.First() {
+	if !s.lease.FirstHolder() {
 		since = s.lease.Since()
 	}
 	if active.HomesSince().After(since) {
