--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -67,8 +67,8 @@
 	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, rollout.TargetsOf(b.set), n.rec, rollout.DefaultDeadlines(), now)
 	b.entry = entry.New(entry.Settings{
 		Zone: n.settings.Zone, MaxBody: b.settings.MaxBody, StartWithin: b.settings.StartWithin,
-		GoneGrace: b.settings.GoneGrace, ResumeWithin: b.settings.ResumeWithin, CallWithin: b.settings.CallWithin,
-		Attempts: b.settings.Attempts, RetryPart: b.settings.RetryPart, Operators: b.operators,
+		DisconnectGrace: b.settings.GoneGrace, ResumeWithin: b.settings.ResumeWithin, CallWithin: b.settings.CallWithin,
+		Attempts: b.settings.Attempts, RetryRatio: b.settings.RetryPart, Operators: b.operators,
 	}, n.identity, b.set, b.client, b.store, b.coord, n.rec, n.reg, now)
 }
 
@@ -122,7 +122,7 @@
 func (b *entryBuilder) join(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.set.Listed(b.node.settings.Name) && (b.coord.Refresh(ctx) == nil || b.adoptPeerConfig(ctx)) {
-			b.entry.Joined()
+			b.entry.MarkJoined()
 			return
 		}
 		select {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -39,8 +39,8 @@
 	MaxBody int64
 	// StartWithin is how long a generation may wait in queues before it starts.
 	StartWithin time.Duration
-	// GoneGrace is how long a generation continues after its caller has disconnected.
-	GoneGrace time.Duration
+	// DisconnectGrace is how long a generation continues after its caller has disconnected.
+	DisconnectGrace time.Duration
 	// ResumeWithin is how long the entry tries to reach a sidecar again after a lost connection before it
 	// ends the stream with an error.
 	ResumeWithin time.Duration
@@ -48,8 +48,8 @@
 	CallWithin time.Duration
 	// Attempts is the largest number of upstreams tried for one request.
 	Attempts int
-	// RetryPart is the ratio of retries to requests that the retry budget permits.
-	RetryPart float64
+	// RetryRatio is the ratio of retries to requests that the retry budget permits.
+	RetryRatio float64
 	// Operators maps the SHA-256 of an operator's token to the operator's name.
 	Operators map[string]string
 }
@@ -136,11 +136,11 @@
 
 func (e *Entry) livez(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) }
 
-// Joined makes the entry serve requests. The caller calls it once the entry is on the VM list and has read
+// MarkJoined makes the entry serve requests. The caller calls it once the entry is on the VM list and has read
 // the head of the configuration after that: from then on no change is accepted without this entry.
-func (e *Entry) Joined() { e.joined.Store(true) }
+func (e *Entry) MarkJoined() { e.joined.Store(true) }
 
-// activeConfig returns the active configuration, nil before Joined.
+// activeConfig returns the active configuration, nil before MarkJoined.
 func (e *Entry) activeConfig() *config.Active {
 	if !e.joined.Load() {
 		return nil
@@ -333,7 +333,7 @@
 	defer e.mu.Unlock()
 	b, ok := e.retryBudgets[pool]
 	if !ok {
-		b = routing.NewBudget(e.settings.RetryPart, retryBurst)
+		b = routing.NewBudget(e.settings.RetryRatio, retryBurst)
 		e.retryBudgets[pool] = b
 	}
 	return b
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -198,12 +198,12 @@
 }
 
 // handleDisconnect handles a caller that has disconnected. The caller can resume the stream at any entry
-// within Settings.GoneGrace. After that time the generation is canceled on the engine.
+// within Settings.DisconnectGrace. After that time the generation is canceled on the engine.
 func (r *relay) handleDisconnect() {
 	r.entry.rec.Note(events.CallerGone, r.req.id, "generation", r.source.Generation(), "offset", r.offset)
 	r.entry.metrics.requests.WithLabelValues("caller-gone").Inc()
 	s := r.source
-	time.AfterFunc(r.entry.settings.GoneGrace, s.Cancel)
+	time.AfterFunc(r.entry.settings.DisconnectGrace, s.Cancel)
 }
 
 // collect collects the generation and writes the answer as one body.
