--- a/internal/connlimit/answerwriter.go
+++ b/internal/connlimit/answerwriter.go
@@ -11,9 +11,9 @@
 	started bool
 }
 
-// Begun reports whether the response has started. It returns true for a ResponseWriter of another
+// ResponseStarted reports whether the response has started. It returns true for a ResponseWriter of another
 // type, for which this is unknown.
-func Begun(w http.ResponseWriter) bool {
+func ResponseStarted(w http.ResponseWriter) bool {
 	rw, ok := w.(*responseWriter)
 	return !ok || rw.started
 }
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -69,8 +69,8 @@
 	return c
 }
 
-// Begin sets the identifier of the request that is served from now on.
-func (c *Conn) Begin(request string) {
+// SetRequest sets the identifier of the request that is served from now on.
+func (c *Conn) SetRequest(request string) {
 	if c == nil {
 		return
 	}
@@ -87,9 +87,9 @@
 	return c.RemoteAddr().String()
 }
 
-// EndedHere returns the reason for which this process closed the connection, or an empty string if
+// EndReason returns the reason for which this process closed the connection, or an empty string if
 // it did not close it.
-func (c *Conn) EndedHere() string {
+func (c *Conn) EndReason() string {
 	if c == nil {
 		return ""
 	}
--- a/internal/connlimit/conn_test.go
+++ b/internal/connlimit/conn_test.go
@@ -15,13 +15,13 @@
 	received, disconnected := make(chan struct{}), make(chan struct{})
 	reported := make(chan string, 1)
 	l := New(func() Limits { return Limits{} }, func(net.Conn, string) {}, func(c *Conn, request string, err error) {
-		if err == nil || c.Caller() == "" || c.EndedHere() != "" {
-			t.Errorf("onUndelivered called with error %v, caller %q, end reason %q", err, c.Caller(), c.EndedHere())
+		if err == nil || c.Caller() == "" || c.EndReason() != "" {
+			t.Errorf("onUndelivered called with error %v, caller %q, end reason %q", err, c.Caller(), c.EndReason())
 		}
 		reported <- request
 	})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		From(r.Context()).Begin("request-1")
+		From(r.Context()).SetRequest("request-1")
 		close(received)
 		<-disconnected
 		<-r.Context().Done()
@@ -62,8 +62,8 @@
 	_, _ = bufio.NewReader(resp.Body).ReadByte()
 	_ = resp.Body.Close()
 	c := <-got
-	c.Begin("request")
-	if c != nil || c.Caller() != "" || c.EndedHere() != "" {
+	c.SetRequest("request")
+	if c != nil || c.Caller() != "" || c.EndReason() != "" {
 		t.Errorf("From returned a connection: %v", c)
 	}
 }
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -155,7 +155,7 @@
 }
 
 func (l *Limiter) forget(c *Conn) {
-	if reason := c.EndedHere(); reason != "" {
+	if reason := c.EndReason(); reason != "" {
 		l.onEnd(c, reason)
 	}
 	l.mu.Lock()
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -62,7 +62,7 @@
 	connections := connlimit.New(b.callerLimits, func(c net.Conn, why string) {
 		b.rec.Note(events.CallerEnded, "", "caller", c.RemoteAddr().String(), "why", why)
 	}, func(c *connlimit.Conn, request string, err error) {
-		b.rec.Note(events.AnswerUndelivered, request, "caller", c.Caller(), "ended-here", c.EndedHere(), "error", err)
+		b.rec.Note(events.AnswerUndelivered, request, "caller", c.Caller(), "ended-here", c.EndReason(), "error", err)
 	})
 	b.callers = &httpServer{server: &http.Server{Handler: b.gateway, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout}, connections: connections}
 	return b.listenService(serviceCallers, "--listen", b.settings.Listen, b.callers)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -69,7 +69,7 @@
 	defer g.endRequest()
 	now := g.now()
 	rq := &request{call: g.proto.Decode(r, now), start: now, caller: r.Context(), conn: connlimit.From(r.Context()), w: w}
-	rq.conn.Begin(rq.call.ID)
+	rq.conn.SetRequest(rq.call.ID)
 	defer g.recoverPanic(rq)
 	if !g.StopDeadline().IsZero() {
 		w.Header().Set("Connection", "close")
@@ -108,7 +108,7 @@
 		panic(v)
 	}
 	g.logPanic(rq, v)
-	if connlimit.Begun(rq.w) {
+	if connlimit.ResponseStarted(rq.w) {
 		panic(v)
 	}
 	rq.w.Header().Set("Connection", "close")
@@ -125,11 +125,11 @@
 // callerGone records that a caller's connection ended; while states what was being done.
 func (g *Gateway) callerGone(rq *request, while string, err error) {
 	cause := unansweredCallerClosed
-	if rq.conn.EndedHere() != "" {
+	if rq.conn.EndReason() != "" {
 		cause = unansweredClosedHere
 	}
 	g.met.unanswered(cause)
-	g.rec.Note(events.CallerGone, rq.call.ID, "while", while, "caller", rq.conn.Caller(), "ended-here", rq.conn.EndedHere(), "sent", rq.sent, "after", g.now().Sub(rq.start), "error", err)
+	g.rec.Note(events.CallerGone, rq.call.ID, "while", while, "caller", rq.conn.Caller(), "ended-here", rq.conn.EndReason(), "sent", rq.sent, "after", g.now().Sub(rq.start), "error", err)
 }
 
 // prepareRequest determines the route, account and service of a request and reads its body. If the
