--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -83,7 +83,7 @@
 	}
 	// Without a report, the late start alone marks the engine as faulty.
 	state, err := g.query(context.Background(), at, "a generation starts late")
-	if !started.Load() && (err != nil || state.Waiting+state.Unbegun == 0) {
+	if !started.Load() && (err != nil || state.Waiting+state.Prefilling == 0) {
 		g.markFaulty(upstream)
 	}
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -333,7 +333,7 @@
 // the upstream stated.
 func (g *Gateway) markBusy(upstream string, header http.Header) {
 	g.fleet.RecordOutcome(upstream, fleet.Busy)
-	if at := g.proto.ComeBack(header, g.now()); !at.IsZero() {
+	if at := g.proto.RetryAt(header, g.now()); !at.IsZero() {
 		g.fleet.BusyUntil(upstream, at)
 	}
 }
@@ -341,7 +341,7 @@
 // forwardAnswer writes an upstream's answer to the caller unchanged.
 func (g *Gateway) forwardAnswer(rq *request, r result) {
 	h := rq.w.Header()
-	g.proto.PassHeader(r.header, h)
+	g.proto.CopyHeaders(r.header, h)
 	h.Set("Content-Length", strconv.Itoa(len(r.body)))
 	rq.w.WriteHeader(r.status)
 	// The connection logs failed writes after the last flush.
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -80,9 +80,9 @@
 			text := h.Get(testLimit)
 			rate, err := strconv.ParseFloat(text, 64)
 			if text != "" && err != nil {
-				return protocol.Limit{}, protocol.ErrRate
+				return protocol.Limit{}, protocol.ErrInvalidRate
 			}
-			return protocol.Limit{Named: text != "", Rate: rate}, nil
+			return protocol.Limit{Limited: text != "", Rate: rate}, nil
 		},
 		Notice: func(status int, h http.Header, now time.Time) protocol.Notice {
 			n := protocol.Notice{Leaving: status != http.StatusMisdirectedRequest && h.Get(testLeaving) != ""}
@@ -91,17 +91,17 @@
 			}
 			return n
 		},
-		ComeBack: func(h http.Header, now time.Time) time.Time {
+		RetryAt: func(h http.Header, now time.Time) time.Time {
 			ms, err := strconv.Atoi(h.Get(testRetryMs))
 			if err != nil {
 				return time.Time{}
 			}
 			return now.Add(time.Duration(ms) * time.Millisecond)
 		},
-		PassHeader: func(from, to http.Header) { to.Set(testProof, from.Get(testProof)) },
+		CopyHeaders: func(from, to http.Header) { to.Set(testProof, from.Get(testProof)) },
 		Refuse: func(w http.ResponseWriter, _ *protocol.Call, r protocol.Refusal, now time.Time) {
-			if !r.ComeBack.IsZero() {
-				w.Header().Set(testRetryMs, strconv.FormatInt(r.ComeBack.Sub(now).Milliseconds(), 10))
+			if !r.RetryAt.IsZero() {
+				w.Header().Set(testRetryMs, strconv.FormatInt(r.RetryAt.Sub(now).Milliseconds(), 10))
 			}
 			http.Error(w, r.Reason, r.Status)
 		},
@@ -118,19 +118,19 @@
 		Release: func(handle string) link.Request {
 			return link.Request{Method: http.MethodDelete, Target: "/copy/" + handle, Host: "engine", Header: http.Header{}}
 		},
-		Report: func() link.Request {
+		StateQuery: func() link.Request {
 			return link.Request{Method: http.MethodGet, Target: "/report", Host: "engine", Header: http.Header{}}
 		},
-		State: func(_ int, body []byte) (protocol.EngineState, error) {
+		DecodeState: func(_ int, body []byte) (protocol.EngineState, error) {
 			s := protocol.EngineState{Leaving: strings.Contains(string(body), "leaving")}
 			if strings.Contains(string(body), "reading") {
-				s.Unbegun = 1
+				s.Prefilling = 1
 			}
 			if strings.Contains(string(body), "waiting") {
 				s.Waiting = 1
 			}
 			if _, born, ok := strings.Cut(string(body), "born "); ok {
-				s.Born, _ = strconv.ParseInt(born, 10, 64)
+				s.StartedAt, _ = strconv.ParseInt(born, 10, 64)
 			}
 			return s, nil
 		},
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -125,7 +125,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			e := f.addEngine("a")
-			e.copies, e.eventInterval = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 5*time.Millisecond
+			e.copies, e.eventInterval = []protocol.CopyResult{{Outcome: protocol.NoSuchGeneration}}, 5*time.Millisecond
 			earlier := f.restart("a", 1)
 			result := f.startGeneration(tc.path)
 			if tc.breaksBefore {
@@ -162,7 +162,7 @@
 func TestNothingIsMovedFromAnEndedIncarnation(t *testing.T) {
 	f := newFixture(t)
 	a := f.addEngine("a")
-	a.copies, a.eventInterval, a.copyWait = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 20*time.Millisecond, make(chan struct{})
+	a.copies, a.eventInterval, a.copyWait = []protocol.CopyResult{{Outcome: protocol.NoSuchGeneration}}, 20*time.Millisecond, make(chan struct{})
 	earlier := f.restart("a", 1)
 	var results []chan answer
 	for range 3 {
--- a/internal/gateway/inquire.go
+++ b/internal/gateway/inquire.go
@@ -44,12 +44,12 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	state, err := g.fetchState(ctx, u)
-	if err == nil && state.Born != 0 && u.Born != 0 && state.Born != u.Born {
+	if err == nil && state.StartedAt != 0 && u.Born != 0 && state.StartedAt != u.Born {
 		// Reports are delayed, and a restarted engine may have the address of the incarnation
 		// before it. Such a report does not apply to the incarnation that was queried.
-		state, err = protocol.EngineState{}, fmt.Errorf("%w: born %d, want %d", errOtherIncarnation, state.Born, u.Born)
+		state, err = protocol.EngineState{}, fmt.Errorf("%w: born %d, want %d", errOtherIncarnation, state.StartedAt, u.Born)
 	}
-	g.rec.Note(events.UpstreamAsked, "", "upstream", u.ID, "why", why, "leaving", state.Leaving, "waiting", state.Waiting, "unbegun", state.Unbegun, "error", err)
+	g.rec.Note(events.UpstreamAsked, "", "upstream", u.ID, "why", why, "leaving", state.Leaving, "waiting", state.Waiting, "unbegun", state.Prefilling, "error", err)
 	if state.Leaving {
 		g.fleet.ReportedLeaving(u.ID)
 	}
@@ -71,7 +71,7 @@
 }
 
 func (g *Gateway) fetchState(ctx context.Context, u fleet.Upstream) (protocol.EngineState, error) {
-	a, err := g.exchange(ctx, u, g.proto.Report())
+	a, err := g.exchange(ctx, u, g.proto.StateQuery())
 	if err != nil {
 		return protocol.EngineState{}, err
 	}
@@ -80,5 +80,5 @@
 	if err != nil {
 		return protocol.EngineState{}, fmt.Errorf("read report: %w", err)
 	}
-	return g.proto.State(a.Status, body)
+	return g.proto.DecodeState(a.Status, body)
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -40,7 +40,7 @@
 	case err != nil:
 		g.rec.Note(events.LimitRejected, requestID, "upstream", upstream.ID, "error", err)
 		return true
-	case limit.Named:
+	case limit.Limited:
 		g.limits.NoteLimit(upstream.ID, limit.Rate)
 		return true
 	default:
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -189,7 +189,7 @@
 	case protocol.NoRoom:
 		g.fleet.RecordOutcome(target.ID, fleet.Busy)
 		return true
-	case protocol.NoSuchRun:
+	case protocol.NoSuchGeneration:
 		g.met.moved("ended")
 		return false
 	default:
@@ -223,7 +223,7 @@
 		// The engine has stopped the generation and still holds its memory.
 		g.met.moved("no room for the rest")
 		s.recordFinalCopy(done, from, r.Handle, from)
-	case protocol.NoSuchRun:
+	case protocol.NoSuchGeneration:
 		g.met.moved("ended")
 	default:
 		g.moveFailed(s, from, "the generation could not be stopped")
@@ -310,18 +310,18 @@
 		if !g.incarnationKnown(from.ID) {
 			// The generation was lost with its engine's incarnation. The next incarnation
 			// may run it again and must not be told to stop it.
-			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
+			return protocol.CopyResult{Outcome: protocol.NoSuchGeneration}
 		}
 		r, err := g.sendCommand(ctx, from, g.proto.Copy(s.rq.call.ID, target.Address, stop))
 		if s.rq.caller.Err() != nil && (err != nil || r.Outcome != protocol.Copied) {
 			// The generation ends with its request.
-			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
+			return protocol.CopyResult{Outcome: protocol.NoSuchGeneration}
 		}
 		if err != nil {
 			g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "to", target.ID, "last", stop, "error", err)
 			return protocol.CopyResult{Outcome: protocol.CopyFailed}
 		}
-		if r.Outcome != protocol.CopyUnderWay {
+		if r.Outcome != protocol.CopyInProgress {
 			return r
 		}
 		select {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -80,7 +80,7 @@
 		return
 	}
 	s.headSent = true
-	g.proto.PassHeader(answer.Header, s.rq.w.Header())
+	g.proto.CopyHeaders(answer.Header, s.rq.w.Header())
 	s.rq.w.WriteHeader(answer.Status)
 	s.timeToFirstEvent = now.Sub(s.rq.start)
 	g.met.observeFirstEvent(s.timeToFirstEvent)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -255,7 +255,7 @@
 	now := g.now()
 	refusal := protocol.Refusal{Status: status, Reason: reason}
 	if retryAfter > 0 {
-		refusal.ComeBack = now.Add(retryAfter)
+		refusal.RetryAt = now.Add(retryAfter)
 	}
 	version := routetable.Version(0)
 	if rq.table != nil {
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -225,9 +225,9 @@
 		{"the stream resumes from the first copy", []protocol.CopyResult{copied("h1"), copied("h2")}, 0, true, 2, "h1"},
 		{"the stream resumes from the second copy when the first is refused", []protocol.CopyResult{copied("h1"), copied("h2")}, 1, true, 2, "h2"},
 		{"another target is tried when one has no room", []protocol.CopyResult{no(protocol.NoRoom, ""), copied("h1"), copied("h2")}, 0, true, 3, "h1"},
-		{"the command is repeated when another copy is in progress", []protocol.CopyResult{no(protocol.CopyUnderWay, ""), copied("h1"), copied("h2")}, 0, true, 3, "h1"},
+		{"the command is repeated when another copy is in progress", []protocol.CopyResult{no(protocol.CopyInProgress, ""), copied("h1"), copied("h2")}, 0, true, 3, "h1"},
 		{"the stream stays when no target has room", []protocol.CopyResult{no(protocol.NoRoom, "")}, 0, true, 2, ""},
-		{"the generation has ended meanwhile", []protocol.CopyResult{no(protocol.NoSuchRun, "")}, 0, true, 1, ""},
+		{"the generation has ended meanwhile", []protocol.CopyResult{no(protocol.NoSuchGeneration, "")}, 0, true, 1, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -96,10 +96,10 @@
 const (
 	// Copied: the target holds the memory.
 	Copied CopyOutcome = iota
-	// NoSuchRun: the engine does not run the generation, or it has ended.
-	NoSuchRun
-	// CopyUnderWay: another copy command for the generation is still in progress.
-	CopyUnderWay
+	// NoSuchGeneration: the engine does not run the generation, or it has ended.
+	NoSuchGeneration
+	// CopyInProgress: another copy command for the generation is still in progress.
+	CopyInProgress
 	// NoRoom: the target lacks memory or cannot be reached.
 	NoRoom
 	// CopyFailed: the answer reports none of the other outcomes.
@@ -108,22 +108,22 @@
 
 // EngineState is the state that an engine reports about itself; it may already be out of date.
 type EngineState struct {
-	// Born is the engine's start time in Unix milliseconds, 0 if the engine does not report it.
-	Born int64
+	// StartedAt is the engine's start time in Unix milliseconds, 0 if the engine does not report it.
+	StartedAt int64
 	// Leaving is set when the engine is about to leave.
 	Leaving bool
 	// Waiting is the number of requests that the engine has not admitted yet.
 	Waiting int
-	// Unbegun is the number of admitted requests that have produced no output yet, because their prompts
+	// Prefilling is the number of admitted requests that have produced no output yet, because their prompts
 	// are still being processed.
-	Unbegun int
+	Prefilling int
 }
 
 // Limit is the rate limit that an upstream states in an answer.
 type Limit struct {
-	// Named is set when the upstream accepts at most Rate requests per second from all entries together.
-	Named bool
-	Rate  float64
+	// Limited is set when the upstream accepts at most Rate requests per second from all entries together.
+	Limited bool
+	Rate    float64
 }
 
 // Notice is the information about the upstream itself in the head of an answer. It is valid whether the
@@ -141,8 +141,8 @@
 	Status int
 	// Reason is a text for the caller's logs.
 	Reason string
-	// ComeBack is the steady time after which the caller may retry; zero if none is stated.
-	ComeBack time.Time
+	// RetryAt is the steady time after which the caller may retry; zero if none is stated.
+	RetryAt time.Time
 }
 
 // Protocol encodes and decodes requests, answers and engine commands.
@@ -163,11 +163,11 @@
 	Limit func(h http.Header) (Limit, error)
 	// Notice returns the information about the upstream itself in an answer.
 	Notice func(status int, h http.Header, now time.Time) Notice
-	// ComeBack returns the steady time after which an upstream that refused a request accepts requests
+	// RetryAt returns the steady time after which an upstream that refused a request accepts requests
 	// again; zero if the answer states no retry delay.
-	ComeBack func(h http.Header, now time.Time) time.Time
-	// PassHeader copies the headers of an upstream's answer that are forwarded to the caller.
-	PassHeader func(from, to http.Header)
+	RetryAt func(h http.Header, now time.Time) time.Time
+	// CopyHeaders copies the headers of an upstream's answer that are forwarded to the caller.
+	CopyHeaders func(from, to http.Header)
 	// Refuse writes a refusal.
 	Refuse func(w http.ResponseWriter, c *Call, r Refusal, now time.Time)
 	// Copy returns the command to copy a generation's memory to the engine at target; if last is set, the
@@ -177,8 +177,8 @@
 	CopyResult func(status int, body []byte) CopyResult
 	// Release returns the command to release a copy that is no longer needed.
 	Release func(handle string) link.Request
-	// Report returns the query for an engine's state.
-	Report func() link.Request
-	// State decodes the answer to the query that Report returns.
-	State func(status int, body []byte) (EngineState, error)
+	// StateQuery returns the query for an engine's state.
+	StateQuery func() link.Request
+	// DecodeState decodes the answer to the query that StateQuery returns.
+	DecodeState func(status int, body []byte) (EngineState, error)
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -64,7 +64,7 @@
 mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestFailureIsAttributed
 mutant gateway-copy-outlasts $gateway/move.go 's/context\.WithTimeout\(context\.Background\(\), copyTimeout\)/context.WithTimeout(s.rq.caller, copyTimeout)/' $gateway TestCopyThatOutlasts
 mutant gateway-brief-stay $gateway/move.go 's/ && !s\.endsWithin\(typicalCopyTime\)//' $gateway TestMovable
-mutant gateway-told-reading $gateway/attempt.go 's/state\.Unbegun == 0/state.Unbegun >= 0/' $gateway TestEngineThatStaysSilent
+mutant gateway-told-reading $gateway/attempt.go 's/state\.Prefilling == 0/state.Prefilling >= 0/' $gateway TestEngineThatStaysSilent
 mutant placement-reserve $placement/reserve.go 's/leavingShare\*shareOf/leavingShare + 0*shareOf/' internal/placement TestReserve
 mutant placement-moved-in-time $placement/reserve.go 's/usable = min\(usable, e\.CopyRate/usable = min(usable, 1e9*e.CopyRate/' internal/placement TestUsable
 mutant wire-no-rank platform/caller.go 's/(\tif a\.From != nil \{)/\th.Set(headerPriority, "2")\n$1/' platform TestForwardAttempt
@@ -150,14 +150,14 @@
 mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[startID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.byName[name].ID] {/' internal/fleet TestLateInformationAboutAnEarlierStart
 mutant start-version-kept internal/daemon/upstreamrows.go 's/\t\tr\.Version = row\.Version\n//' internal/daemon TestUpstreamChangesKeep
 mutant start-removal-version internal/daemon/upstreamrows.go 's/, Version: row\.Version\}\)/})/' internal/daemon TestUpstreamChangesKeep
-mutant start-report $gateway/inquire.go 's/ && state\.Born != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
+mutant start-report $gateway/inquire.go 's/ && state\.StartedAt != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
 mutant start-copy-target $gateway/move.go 's/if !g\.incarnationKnown\(target\.ID\) \{/if false {/' $gateway TestCopyToAnEndedIncarnation
 mutant start-orders $gateway/move.go 's/if !g\.incarnationKnown\(from\.ID\) \{/if false {/' $gateway TestNothingIsMovedFromAnEndedIncarnation
 mutant start-release $gateway/move.go 's/if !g\.incarnationKnown\(held\.at\.ID\) \{/if false {/' $gateway TestCopiesHeldByAnEndedIncarnation
 mutant start-copies $gateway/continue.go 's/if s\.g\.incarnationKnown\(held\.at\.ID\) \{/if true {/' $gateway TestCopiesHeldByAnEndedIncarnation
 mutant start-wire-name $gateway/request.go 's/Upstream: u\.Name,/Upstream: u.ID,/' $gateway TestCallsToAnEndedIncarnation
 mutant start-row platform/upstreams.go 's/Born: f\.born\(\), //' platform TestBirthInARow
-mutant start-reported platform/engine.go 's/\t\tBorn:    r\.Born,\n//' platform TestBirthInAReport
+mutant start-reported platform/engine.go 's/\t\tStartedAt:  r\.Born,\n//' platform TestBirthInAReport
 
 # Requests that end upstreams.
 held=internal/quarantine
@@ -264,7 +264,7 @@
 mutant limits-stop $gateway/stop.go 's/\tg\.limits\.StopGranting\(\)\n//' $gateway TestStoppingEntryHandsOverGranting
 mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationWaitsForAPermit
 mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitInHeaders
-mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestRetryTimeOfUpstreamIsObeyed
+mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.RetryAt\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.RetryAt(header, g.now()); at.IsZero()/' $gateway TestRetryTimeOfUpstreamIsObeyed
 mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.takePermit\(ctx\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsNoMoreCallsThanItsRateLimit
 mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.awaitPermit\(ctx, s\.permitDeadline\(p\)\); !ok \{/if opensAt, ok := s.permitDeadline(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
 mutant limits-sidecar-queued internal/sidecar/server.go 's/if opensAt, ok := s\.limiter\.takePermit\(context\.Background\(\)\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestQueuedGenerationNeedsAPermit
