--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -9,18 +9,18 @@
 	"runtime/debug"
 )
 
-// ErrFault is wrapped by the errors that Do returns for a panic.
-var ErrFault = errors.New("panic in this program")
+// ErrPanic is wrapped by the errors that Do returns for a panic.
+var ErrPanic = errors.New("panic in this program")
 
 // maxStackBytes bounds the stack trace in an error; it holds about twenty calls.
 const maxStackBytes = 4 << 10
 
-// Do calls f and returns its error, or one that wraps ErrFault if it panicked.
+// Do calls f and returns its error, or one that wraps ErrPanic if it panicked.
 func Do(f func() error) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			stack := debug.Stack()
-			err = fmt.Errorf("%w: %v: %s", ErrFault, v, stack[:min(len(stack), maxStackBytes)])
+			err = fmt.Errorf("%w: %v: %s", ErrPanic, v, stack[:min(len(stack), maxStackBytes)])
 		}
 	}()
 	return f()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -15,19 +15,19 @@
 	}{
 		{"no error", func() error { return nil }, nil},
 		{"an error", func() error { return errOwn }, errOwn},
-		{"a panic", func() error { panic("oops") }, ErrFault},
+		{"a panic", func() error { panic("oops") }, ErrPanic},
 		{"a runtime error", func() error {
 			var none []int
 			_ = none[len(none)]
 			return nil
-		}, ErrFault},
+		}, ErrPanic},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := Do(tc.f)
 			if !errors.Is(err, tc.want) {
 				t.Errorf("%v, want %v", err, tc.want)
 			}
-			if errors.Is(tc.want, ErrFault) && (!strings.Contains(err.Error(), "guard_test.go") || len(err.Error()) > 2*maxStackBytes) {
+			if errors.Is(tc.want, ErrPanic) && (!strings.Contains(err.Error(), "guard_test.go") || len(err.Error()) > 2*maxStackBytes) {
 				t.Errorf("%d bytes, too long or without the location of the panic: %v", len(err.Error()), err)
 			}
 		})
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -51,9 +51,9 @@
 				result, err = h(ctx, c, params)
 				return err
 			})
-			if errors.Is(err, guard.ErrFault) {
+			if errors.Is(err, guard.ErrPanic) {
 				note(method, err)
-				return result, guard.ErrFault
+				return result, guard.ErrPanic
 			}
 			return result, err
 		}
