--- a/internal/directory/row_test.go
+++ b/internal/directory/row_test.go
@@ -68,8 +68,8 @@
 }
 
 // badRowLogs returns the log entries about unusable rows.
-func badRowLogs(rec *events.Recorder) []events.Entry {
-	var out []events.Entry
+func badRowLogs(rec *events.Recorder) []events.Event {
+	var out []events.Event
 	for _, e := range rec.Select("") {
 		if e.Event == events.RegisterFailed {
 			out = append(out, e)
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -193,7 +193,7 @@
 }
 
 type timelineBody struct {
-	Events      []events.Entry `json:"events"`
+	Events      []events.Event `json:"events"`
 	Unreachable []string       `json:"unreachable"`
 }
 
--- a/internal/events/recorder.go
+++ b/internal/events/recorder.go
@@ -26,8 +26,8 @@
 	return s.Logic < o.Logic
 }
 
-// Entry is one recorded event.
-type Entry struct {
+// Event is one recorded event.
+type Event struct {
 	Stamp       Stamp             `json:"stamp"`
 	Process     string            `json:"process"`
 	Incarnation string            `json:"incarnation"`
@@ -46,7 +46,7 @@
 
 	mu   sync.Mutex
 	last Stamp
-	ring []Entry
+	ring []Event
 	next int
 }
 
@@ -57,7 +57,7 @@
 		process:     process,
 		incarnation: incarnation,
 		now:         now,
-		ring:        make([]Entry, 0, size),
+		ring:        make([]Event, 0, size),
 	}
 }
 
@@ -69,7 +69,7 @@
 func (r *Recorder) Note(id ID, request string, kv ...any) {
 	kind := byID[id]
 	r.log.Info(kind.name, append([]any{"event", int(id), "request", request}, kv...)...)
-	e := Entry{Process: r.process, Incarnation: r.incarnation, Event: id, Name: kind.name, Request: request, Fields: fields(kv)}
+	e := Event{Process: r.process, Incarnation: r.incarnation, Event: id, Name: kind.name, Request: request, Fields: fields(kv)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.Stamp = r.tick()
@@ -95,10 +95,10 @@
 
 // Select returns the kept events of one request, or all if request is empty,
 // oldest first.
-func (r *Recorder) Select(request string) []Entry {
+func (r *Recorder) Select(request string) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]Entry, 0, len(r.ring))
+	out := make([]Event, 0, len(r.ring))
 	for i := range r.ring {
 		e := r.ring[(r.next+i)%len(r.ring)]
 		if request == "" || e.Request == request {
@@ -118,7 +118,7 @@
 	return r.last
 }
 
-func (r *Recorder) keep(e Entry) {
+func (r *Recorder) keep(e Event) {
 	if len(r.ring) < cap(r.ring) {
 		r.ring = append(r.ring, e)
 		return
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -21,7 +21,7 @@
 }
 
 type selectResult struct {
-	Events []events.Entry `json:"events"`
+	Events []events.Event `json:"events"`
 }
 
 // Methods returns the handler that answers for the own process.
@@ -39,7 +39,7 @@
 
 // Gather asks every process on the VM list for its events about a request, or
 // for all if request is empty. It names the processes that did not answer.
-func Gather(ctx context.Context, set *membership.Set, request string) (all []events.Entry, unreachable []string) {
+func Gather(ctx context.Context, set *membership.Set, request string) (all []events.Event, unreachable []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, p := range set.Peers() {
@@ -55,7 +55,7 @@
 		})
 	}
 	wg.Wait()
-	slices.SortStableFunc(all, func(a, b events.Entry) int {
+	slices.SortStableFunc(all, func(a, b events.Event) int {
 		if a.Stamp.Before(b.Stamp) {
 			return -1
 		}
@@ -67,7 +67,7 @@
 	return all, unreachable
 }
 
-func ask(ctx context.Context, p *membership.Peer, request string) ([]events.Entry, error) {
+func ask(ctx context.Context, p *membership.Peer, request string) ([]events.Event, error) {
 	c := p.Conn()
 	if c == nil {
 		return nil, fmt.Errorf("%w: %s", peer.ErrUnreachable, p.Address())
