--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -207,9 +207,9 @@
 	relayLog    *relay.Log
 	source      *relay.Store
 	routes      *belief.Routes
-	// behind detects that other entries have later routes than the store.
-	behind belief.StaleTableDetector
-	fleet  *fleet.Set
+	// staleTable detects that other entries have later routes than the store.
+	staleTable belief.StaleTableDetector
+	fleet      *fleet.Set
 	// upstreams applies the rows of the upstreams table to the fleet.
 	upstreams         *upstreamRows
 	pool              *link.Pool
@@ -221,9 +221,9 @@
 	directory         *directory.Directory
 	stalls            *stallDetector
 	lags              *lagDetector
-	// publishedVerdicts is the number of quarantine verdicts of this entry as of the latest renewal
+	// publishedQuarantines is the number of quarantines of this entry as of the latest renewal
 	// of its row.
-	publishedVerdicts int
+	publishedQuarantines int
 	// listed is closed by listedOnce once the list of entries has been read.
 	listed     chan struct{}
 	listedOnce sync.Once
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -39,7 +39,7 @@
 				Table: tableEntries, Name: b.settings.Name, Entry: b.ownEntry(),
 				ReadInterval: directoryInterval, SharedReadInterval: directoryReadSpacing, RenewalRetryDelay: directoryRetryInterval, CallTimeout: directoryCallTimeout, ContactTimeout: directoryContactTimeout,
 				FirstDeployment: b.settings.StartTogether, FirstReadSpread: directoryFirstReadSpread, RereadDelayMax: directoryAlonePauseMax, IntroductionDelay: directoryPeersTimeout, SharedWriteInterval: directoryWriteSpacing,
-			}, b.store, directory.Callbacks{OnList: b.applyEntryList, ContactCount: b.liveEntries, OnReady: b.markListed}, directory.RowData{Value: b.encodeHeldRequests, OnRead: b.recallHeldRequests}, b.rec, time.Now)
+			}, b.store, directory.Callbacks{OnList: b.applyEntryList, ContactCount: b.liveEntries, OnReady: b.markListed}, directory.RowData{Value: b.encodeQuarantined, OnRead: b.restoreQuarantined}, b.rec, time.Now)
 			go b.gossip.Run(b.ctx)
 			go b.directory.Run(b.ctx)
 			return nil
@@ -90,9 +90,9 @@
 // markListed allows the tables to be read: the entries that can be asked for them are known.
 func (b *gatewayBuilder) markListed() { b.listedOnce.Do(func() { close(b.listed) }) }
 
-// encodeHeldRequests returns the quarantined requests in the form in which the row of this entry in
+// encodeQuarantined returns the quarantined requests in the form in which the row of this entry in
 // the list of entries holds them; nil if there are none.
-func (b *gatewayBuilder) encodeHeldRequests() []byte {
+func (b *gatewayBuilder) encodeQuarantined() []byte {
 	held := b.gateway.Quarantine().Quarantined()
 	if len(held) == 0 {
 		return nil
@@ -105,9 +105,9 @@
 	return value
 }
 
-// recallHeldRequests takes over the quarantined requests in the row of another entry. For an entry
+// restoreQuarantined takes over the quarantined requests in the row of another entry. For an entry
 // that starts when all others are gone, the rows are the only source for them.
-func (b *gatewayBuilder) recallHeldRequests(entry string, value []byte, age time.Duration) {
+func (b *gatewayBuilder) restoreQuarantined(entry string, value []byte, age time.Duration) {
 	var held []quarantine.Message
 	if err := cbor.Unmarshal(value, &held); err != nil {
 		b.rec.Note(events.RegisterFailed, "", "row", entry, "error", err)
@@ -116,10 +116,10 @@
 	b.gateway.Quarantine().Restore(quarantine.Decode(held, time.Now().Add(-max(age, 0))))
 }
 
-// publishVerdicts renews the row of this entry once it has quarantined another request.
-func (b *gatewayBuilder) publishVerdicts() {
-	if n := b.gateway.Quarantine().LocalQuarantines(); n != b.publishedVerdicts {
-		b.publishedVerdicts = n
+// publishQuarantines renews the row of this entry once it has quarantined another request.
+func (b *gatewayBuilder) publishQuarantines() {
+	if n := b.gateway.Quarantine().LocalQuarantines(); n != b.publishedQuarantines {
+		b.publishedQuarantines = n
 		b.directory.RenewSoon()
 	}
 }
@@ -148,7 +148,7 @@
 	if !s.Confirmed.IsZero() {
 		b.routes.Confirm(s.Routes, s.Confirmed)
 	}
-	if table, confirmed := b.routes.Current(); table != nil && b.behind.Observe(table.Version(), s.Routes, confirmed, time.Now()) {
+	if table, confirmed := b.routes.Current(); table != nil && b.staleTable.Observe(table.Version(), s.Routes, confirmed, time.Now()) {
 		go b.fetchLaterRoutes(from)
 	}
 }
