--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -58,26 +58,26 @@
 	n := b.node
 	b.store = rollout.NewStore(n.settings.Name, n.settings.Zone, n.rec)
 	b.store.Validate = validate
-	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, Behind: b.behind, Suspects: b.peerSuspects}
+	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.behind, Suspects: b.peerSuspects}
 	b.client = sidecar.NewClient(n.rec)
 	methods := peer.Methods{}
 	maps.Copy(methods, b.store.Methods())
 	maps.Copy(methods, b.client.Methods())
-	b.set = membership.NewSet(b.self, n.vms, n.timing(), methods.Guarded(recordPanics(n.rec)))
+	b.set = membership.NewSet(b.self, n.vms, n.timing(), methods.WithRecovery(recordPanics(n.rec)))
 	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, rollout.TargetsOf(b.set), n.rec, rollout.DefaultDeadlines(), now)
 	b.entry = entry.New(entry.Settings{
 		Zone: n.settings.Zone, MaxBody: b.settings.MaxBody, StartWithin: b.settings.StartWithin,
-		GoneGrace: b.settings.GoneGrace, ResumeWithin: b.settings.ResumeWithin, CallWithin: b.settings.CallWithin,
-		Attempts: b.settings.Attempts, RetryPart: b.settings.RetryPart, Operators: b.operators,
+		DisconnectGrace: b.settings.GoneGrace, ResumeWithin: b.settings.ResumeWithin, CallWithin: b.settings.CallWithin,
+		Attempts: b.settings.Attempts, RetryRatio: b.settings.RetryPart, Operators: b.operators,
 	}, n.identity, b.set, b.client, b.store, b.coord, n.rec, n.reg, now)
 }
 
 func (b *entryBuilder) status() membership.Status {
-	return membership.Status{Mark: b.store.Mark(), Load: membership.Load{AtMS: now().UnixMilli()}, Suspects: b.entry.Quarantine().Tell()}
+	return membership.Status{Mark: b.store.Mark(), Load: membership.Load{AtMS: now().UnixMilli()}, Suspects: b.entry.Quarantine().Reports()}
 }
 
-func (b *entryBuilder) peerSuspects(process string, records []quarantine.Word) {
-	b.entry.Quarantine().Hear(process, records)
+func (b *entryBuilder) peerSuspects(process string, records []quarantine.Report) {
+	b.entry.Quarantine().Merge(process, records)
 }
 
 func (b *entryBuilder) behind(c *peer.Conn, _ config.Mark) { _ = b.store.CatchUp(b.node.ctx, c) }
@@ -122,7 +122,7 @@
 func (b *entryBuilder) join(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.set.Listed(b.node.settings.Name) && (b.coord.Refresh(ctx) == nil || b.adoptPeerConfig(ctx)) {
-			b.entry.Joined()
+			b.entry.MarkJoined()
 			return
 		}
 		select {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -207,9 +207,9 @@
 	relayLog    *relay.Log
 	source      *relay.Store
 	routes      *belief.Routes
-	// behind detects that other entries have later routes than the store.
-	behind belief.Behind
-	fleet  *fleet.Set
+	// staleTable detects that other entries have later routes than the store.
+	staleTable belief.StaleTableDetector
+	fleet      *fleet.Set
 	// upstreams applies the rows of the upstreams table to the fleet.
 	upstreams         *upstreamRows
 	pool              *link.Pool
@@ -221,9 +221,9 @@
 	directory         *directory.Directory
 	stalls            *stallDetector
 	lags              *lagDetector
-	// publishedVerdicts is the number of quarantine verdicts of this entry as of the latest renewal
+	// publishedQuarantines is the number of quarantines of this entry as of the latest renewal
 	// of its row.
-	publishedVerdicts int
+	publishedQuarantines int
 	// listed is closed by listedOnce once the list of entries has been read.
 	listed     chan struct{}
 	listedOnce sync.Once
@@ -239,32 +239,32 @@
 	log := newLogger(b.logWriter).WithValues("process", s.Name, "incarnation", b.incarnation)
 	b.rec = events.New(log, s.Name, b.incarnation, s.TimelineSize, time.Now)
 	b.reg.MustRegister(collectors.NewGoCollector())
-	b.store = belief.Anchored(platform.NewStore(s.Store, storeClient()), time.Now)
+	b.store = belief.WithAnswerTimes(platform.NewStore(s.Store, storeClient()), time.Now)
 	b.relayLog = relay.NewLog(time.Now)
 	b.source = relay.New(relay.Settings{
-		Name: s.Name, Zone: s.Zone, Size: s.size(), Delegates: delegateCount, ListedWithin: listedTimeout,
-		Wait: relayWait, Slack: relayTimeoutMargin, Stale: relayMaxAge, AvoidFor: relayAvoidFailed, AvoidStaleFor: relayAvoidStale, CallEach: relayCallInterval, RetryAfter: relayRetryInterval,
+		Name: s.Name, Zone: s.Zone, Size: s.size(), Delegates: delegateCount, PeerListTimeout: listedTimeout,
+		Wait: relayWait, Slack: relayTimeoutMargin, MaxAge: relayMaxAge, AvoidFor: relayAvoidFailed, AvoidStaleFor: relayAvoidStale, StoreCallInterval: relayCallInterval, RetryAfter: relayRetryInterval,
 	}, b.store, b.relayLog, b.relayPeers, b.listed, b.rec, time.Now)
 	b.routes = belief.NewRoutes(platform.RowRoutes, platform.DecodeRoutes, b.rec, time.Now)
 	b.fleet = fleet.New(b.rec, time.Now, func(id string) { b.gateway.Evacuate(id) })
 	b.upstreams = newUpstreamRows(platform.DecodeUpstream, b.fleet, newBadRows(events.UpstreamRejected, platform.Reason, b.reg, b.rec, time.Now))
 	proto := platform.NewProtocol()
-	b.pool = link.New(link.Settings{DialWithin: dialTimeout, IdleUnknown: defaultUpstreamIdle, IdleMargin: upstreamIdleMargin, HeadWithin: cancelledHeadTimeout, IDHeader: proto.IDHeader}, dialer(), time.Now)
+	b.pool = link.New(link.Settings{DialTimeout: dialTimeout, DefaultIdleTimeout: defaultUpstreamIdle, IdleMargin: upstreamIdleMargin, HeadGrace: cancelledHeadTimeout, IDHeader: proto.IDHeader}, dialer(), time.Now)
 	b.gateway = gateway.New(gateway.Settings{
-		Name: s.Name, Life: b.incarnation, Zone: s.Zone, RoutesTrusted: s.KeyBound - keyBoundMargin, HardKeyBound: s.KeyBoundHard,
+		Name: s.Name, Incarnation: b.incarnation, Zone: s.Zone, MaxRoutesAge: s.KeyBound - keyBoundMargin, HardKeyBound: s.KeyBoundHard,
 		RetryRatio: s.RetryRatio * retryBudgetShare, RetryExtra: s.RetryExtra * retryBudgetShare, RetryWindow: s.RetryWindow,
-	}, b.routes, b.fleet, b.pool, proto, gateway.Others{
-		Nudge: func() { b.gossip.Nudge() },
-		Heard: func() map[string]gossip.Peer { return b.gossip.Peers() },
-		Urge:  func() { b.gossip.Urge() },
-		Delay: func(zone string, nudged bool) time.Duration { return b.gossip.Delay(zone, nudged) },
-		Told:  func() (told, silence time.Duration) { return b.gossip.Told() },
-		Limits: limits.Others{
-			Heard: func() []limits.Entry { return b.gossip.Heard() },
-			Send:  func(to string, m limits.Message) { b.gossip.Send(to, m) },
-			Urge:  func() { b.gossip.UrgeEach() },
-			Told:  func() time.Duration { return b.gossip.ToldEach() },
-			Way:   func() time.Duration { return b.gossip.Way() },
+	}, b.routes, b.fleet, b.pool, proto, gateway.Peers{
+		SendSoon:      func() { b.gossip.SendSoon() },
+		LivePeers:     func() map[string]gossip.Peer { return b.gossip.Peers() },
+		SendNow:       func() { b.gossip.SendNow() },
+		Delay:         func(zone string, sentSoon bool) time.Duration { return b.gossip.Delay(zone, sentSoon) },
+		DeliveryTimes: func() (delivery, silence time.Duration) { return b.gossip.DeliveryTime() },
+		Limits: limits.Peers{
+			LivePeers:     func() []limits.Entry { return b.gossip.LivePeers() },
+			Send:          func(to string, m limits.Message) { b.gossip.Send(to, m) },
+			Broadcast:     func() { b.gossip.Broadcast() },
+			BroadcastTime: func() time.Duration { return b.gossip.BroadcastTime() },
+			RoundTrip:     func() time.Duration { return b.gossip.RoundTrip() },
 		},
 	}, b.rec, b.reg, time.Now)
 	b.gateway.Quarantine().SetName(s.Name)
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -28,8 +28,8 @@
 				return nil, fmt.Errorf("--gossip-listen: %w", err)
 			}
 			b.gossip = gossip.New(gossip.Settings{
-				Name: b.settings.Name, Zone: b.settings.Zone, Entry: b.ownEntry(), Life: b.incarnation,
-				Every: gossipInterval, Least: gossipIntervalMin, Urgent: gossipUrgentIntervalMin, Rate: gossipRate, UrgentRate: gossipUrgentRate, Forget: gossipPeerTimeout,
+				Name: b.settings.Name, Zone: b.settings.Zone, Entry: b.ownEntry(), Incarnation: b.incarnation,
+				Interval: gossipInterval, MinInterval: gossipIntervalMin, UrgentInterval: gossipUrgentIntervalMin, Rate: gossipRate, UrgentRate: gossipUrgentRate, SilenceTimeout: gossipPeerTimeout,
 			}, conn, b.ownState, b.applyPeerState, b.gateway.Limits(), b.rec, time.Now)
 			registerGossipMetrics(b.reg, b.gossip.Stats)
 			return b.gossip, nil
@@ -37,9 +37,9 @@
 		Start: func(context.Context, *kernel.Registry) error {
 			b.directory = directory.New(directory.Settings{
 				Table: tableEntries, Name: b.settings.Name, Entry: b.ownEntry(),
-				Every: directoryInterval, ReadEach: directoryReadSpacing, Again: directoryRetryInterval, CallWithin: directoryCallTimeout, HeardWithin: directoryContactTimeout,
-				Together: b.settings.StartTogether, TogetherWithin: directoryFirstReadSpread, AloneWithin: directoryAlonePauseMax, ToldWithin: directoryPeersTimeout, WriteEach: directoryWriteSpacing,
-			}, b.store, directory.Others{Found: b.applyEntryList, Heard: b.liveEntries, Known: b.markListed}, directory.Carried{Value: b.encodeHeldRequests, Heard: b.recallHeldRequests}, b.rec, time.Now)
+				ReadInterval: directoryInterval, SharedReadInterval: directoryReadSpacing, RenewalRetryDelay: directoryRetryInterval, CallTimeout: directoryCallTimeout, ContactTimeout: directoryContactTimeout,
+				FirstDeployment: b.settings.StartTogether, FirstReadSpread: directoryFirstReadSpread, RereadDelayMax: directoryAlonePauseMax, IntroductionDelay: directoryPeersTimeout, SharedWriteInterval: directoryWriteSpacing,
+			}, b.store, directory.Callbacks{OnList: b.applyEntryList, ContactCount: b.liveEntries, OnReady: b.markListed}, directory.RowData{Value: b.encodeQuarantined, OnRead: b.restoreQuarantined}, b.rec, time.Now)
 			go b.gossip.Run(b.ctx)
 			go b.directory.Run(b.ctx)
 			return nil
@@ -54,7 +54,7 @@
 }
 
 // liveEntries returns the number of other entries that this entry receives gossip from.
-func (b *gatewayBuilder) liveEntries() int { return len(b.gossip.Heard()) }
+func (b *gatewayBuilder) liveEntries() int { return len(b.gossip.LivePeers()) }
 
 // relayPeers returns the entries that can be asked for tables. This includes listed entries that
 // have not sent gossip yet, so that a starting entry need not read the tables from the store.
@@ -81,19 +81,19 @@
 
 // applyEntryList applies the list of entries that was read.
 func (b *gatewayBuilder) applyEntryList(listed map[string]roster.Entry) {
-	b.gossip.Know(listed)
+	b.gossip.SetListed(listed)
 	if _, own := listed[b.settings.Name]; own {
-		b.gateway.Registered(len(listed))
+		b.gateway.SetListedEntries(len(listed))
 	}
 }
 
 // markListed allows the tables to be read: the entries that can be asked for them are known.
 func (b *gatewayBuilder) markListed() { b.listedOnce.Do(func() { close(b.listed) }) }
 
-// encodeHeldRequests returns the quarantined requests in the form in which the row of this entry in
+// encodeQuarantined returns the quarantined requests in the form in which the row of this entry in
 // the list of entries holds them; nil if there are none.
-func (b *gatewayBuilder) encodeHeldRequests() []byte {
-	held := b.gateway.Quarantine().Held()
+func (b *gatewayBuilder) encodeQuarantined() []byte {
+	held := b.gateway.Quarantine().Quarantined()
 	if len(held) == 0 {
 		return nil
 	}
@@ -105,21 +105,21 @@
 	return value
 }
 
-// recallHeldRequests takes over the quarantined requests in the row of another entry. For an entry
+// restoreQuarantined takes over the quarantined requests in the row of another entry. For an entry
 // that starts when all others are gone, the rows are the only source for them.
-func (b *gatewayBuilder) recallHeldRequests(entry string, value []byte, age time.Duration) {
+func (b *gatewayBuilder) restoreQuarantined(entry string, value []byte, age time.Duration) {
 	var held []quarantine.Message
 	if err := cbor.Unmarshal(value, &held); err != nil {
 		b.rec.Note(events.RegisterFailed, "", "row", entry, "error", err)
 		return
 	}
-	b.gateway.Quarantine().Recall(quarantine.Decode(held, time.Now().Add(-max(age, 0))))
+	b.gateway.Quarantine().Restore(quarantine.Decode(held, time.Now().Add(-max(age, 0))))
 }
 
-// publishVerdicts renews the row of this entry once it has quarantined another request.
-func (b *gatewayBuilder) publishVerdicts() {
-	if n := b.gateway.Quarantine().Verdicts(); n != b.publishedVerdicts {
-		b.publishedVerdicts = n
+// publishQuarantines renews the row of this entry once it has quarantined another request.
+func (b *gatewayBuilder) publishQuarantines() {
+	if n := b.gateway.Quarantine().LocalQuarantines(); n != b.publishedQuarantines {
+		b.publishedQuarantines = n
 		b.directory.RenewSoon()
 	}
 }
@@ -128,7 +128,7 @@
 func (b *gatewayBuilder) ownState() gossip.State {
 	s := gossip.State{
 		Zone: b.settings.Zone, Relay: b.settings.RelayListen, Loads: b.gateway.Load(),
-		StopBy: b.gateway.StopBy(), StoreLost: b.source.StoreLost(), Leaving: b.fleet.KnownLeaving(), Faults: b.fleet.Faults(), Failures: b.fleet.Failures(), Retries: b.gateway.RetryUse(), Suspects: b.gateway.Quarantine().Tell(),
+		StopBy: b.gateway.StopDeadline(), StoreLost: b.source.StoreLost(), Leaving: b.fleet.KnownLeaving(), Faults: b.fleet.Faults(), Failures: b.fleet.Failures(), Retries: b.gateway.RetryUse(), Suspects: b.gateway.Quarantine().Reports(),
 	}
 	table, confirmed := b.routes.Current()
 	if table != nil {
@@ -139,16 +139,16 @@
 
 // applyPeerState applies the state that another gateway gossiped.
 func (b *gatewayBuilder) applyPeerState(from string, s gossip.State) {
-	b.gateway.PeerLoad(from, s.Loads)
-	b.gateway.PeerRetryUse(from, s.Retries, s.HeardUs)
+	b.gateway.SetPeerLoad(from, s.Loads)
+	b.gateway.SetPeerRetryUse(from, s.Retries, s.LastReceived)
 	b.fleet.PeerFaults(from, s.Faults)
 	b.fleet.PeerFailures(from, s.Failures)
-	b.gateway.Quarantine().Hear(from, s.Suspects)
-	b.fleet.PeerLeaving(from, s.Leaving)
+	b.gateway.Quarantine().Merge(from, s.Suspects)
+	b.fleet.PeerReportedLeaving(from, s.Leaving)
 	if !s.Confirmed.IsZero() {
 		b.routes.Confirm(s.Routes, s.Confirmed)
 	}
-	if table, confirmed := b.routes.Current(); table != nil && b.behind.Hear(table.Version(), s.Routes, confirmed, time.Now()) {
+	if table, confirmed := b.routes.Current(); table != nil && b.staleTable.Observe(table.Version(), s.Routes, confirmed, time.Now()) {
 		go b.fetchLaterRoutes(from)
 	}
 }
@@ -163,5 +163,5 @@
 		b.rec.Note(events.RelayFailed, "", "peer", from, "error", err)
 		return
 	}
-	b.routes.Learn(from, s.Records)
+	b.routes.Adopt(from, s.Records)
 }
--- a/internal/daemon/gatewaystatus.go
+++ b/internal/daemon/gatewaystatus.go
@@ -78,7 +78,7 @@
 func (b *gatewayBuilder) limitStatuses() []limitStatus {
 	out := []limitStatus{}
 	for _, l := range b.gateway.Limits().List() {
-		out = append(out, limitStatus{Upstream: l.Upstream, Rate: l.Rate, Since: l.Since, Named: l.Named, Granter: l.Granter})
+		out = append(out, limitStatus{Upstream: l.Upstream, Rate: l.Rate, Since: l.Since, Named: l.AdvertisedAt, Granter: l.Granter})
 	}
 	return out
 }
@@ -93,7 +93,7 @@
 		out = append(out, s)
 	}
 	for _, u := range b.fleet.All() {
-		load := b.gateway.Known(u.ID)
+		load := b.gateway.KnownLoad(u.ID)
 		out = append(out, peerStatus{VM: u.Name, Zone: u.Zone, Address: u.Address, Role: u.Service, Upstream: u.ID, State: stateOf(u, time.Now()), Running: load.Running})
 	}
 	slices.SortFunc(out, func(a, b peerStatus) int { return strings.Compare(a.Role+a.VM, b.Role+b.VM) })
--- a/internal/daemon/gatewaystore.go
+++ b/internal/daemon/gatewaystore.go
@@ -15,8 +15,8 @@
 
 func followSettings(table string, wait time.Duration) belief.Settings {
 	return belief.Settings{
-		Table: table, Wait: wait, Slack: followTimeoutMargin, ListWithin: followListTimeout,
-		PauseLeast: followBackoffMin, PauseMost: followBackoffMax, SettleFor: settleTime, RestoreFor: restoreTime, Gather: followBatchDelayMin, GatherMost: followBatchDelayMax,
+		Table: table, HoldTime: wait, CallSlack: followTimeoutMargin, ListTimeout: followListTimeout,
+		BackoffMin: followBackoffMin, BackoffMax: followBackoffMax, SettleFor: settleTime, RestoreFor: restoreTime, GatherDelay: followBatchDelayMin, GatherDelayMax: followBatchDelayMax,
 	}
 }
 
@@ -46,8 +46,8 @@
 	zones := belief.NewZones(platform.ClosedZone, b.fleet.CloseZones)
 	return func(s product.Snapshot, full bool) {
 		b.routes.Apply(s, full)
-		if row, ok := b.routes.Kept(); ok {
-			b.relayLog.Keep(platform.TableRoutes, row)
+		if row, ok := b.routes.NewerThanStore(); ok {
+			b.relayLog.OverrideRow(platform.TableRoutes, row)
 		}
 		zones.Apply(s, full)
 		if s.Restored {
@@ -83,13 +83,13 @@
 	b.every(sweepInterval, func() {
 		b.fleet.Sweep()
 		b.pool.Sweep()
-		b.gateway.ForgetSilent()
-		b.gateway.CountHeard()
+		b.gateway.ForgetUnreachable()
+		b.gateway.CountReachable()
 		b.gateway.SweepQuarantine()
 		b.gateway.SweepLimits()
-		b.publishVerdicts()
+		b.publishQuarantines()
 		if _, ok := b.upstreamsFollower.Settled(); !ok {
-			b.gateway.InquireAll(b.ctx)
+			b.gateway.QueryEngines(b.ctx)
 		}
 	})
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -96,11 +96,11 @@
 
 func (n *node) timing() membership.Timing {
 	return membership.Timing{
-		List:      n.settings.VMsEvery,
-		Heartbeat: n.settings.Heartbeat,
-		Pings:     n.settings.Pings,
-		Suspect:   n.settings.SuspectAfter,
-		Lost:      n.settings.LostAfter,
+		List:         n.settings.VMsEvery,
+		Heartbeat:    n.settings.Heartbeat,
+		Pings:        n.settings.Pings,
+		SuspectAfter: n.settings.SuspectAfter,
+		LostAfter:    n.settings.LostAfter,
 	}
 }
 
@@ -145,7 +145,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", flag, err)
 			}
-			return peer.NewServer(l, m.Guarded(recordPanics(rec)), onOpen(r)), nil
+			return peer.NewServer(l, m.WithRecovery(recordPanics(rec)), onOpen(r)), nil
 		},
 		Start: func(_ context.Context, r *kernel.Registry) error {
 			s, err := kernel.Lookup[*peer.Server](r, servicePeers)
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -55,7 +55,7 @@
 	n, s := b.node, b.settings
 	b.store = rollout.NewStore(n.settings.Name, n.settings.Zone, n.rec)
 	b.store.Validate = validate
-	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, Behind: b.behind}
+	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.behind}
 	noTargets := func(context.Context) ([]rollout.Target, error) { return nil, nil }
 	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, noTargets, n.rec, rollout.DefaultDeadlines(), now)
 	b.lease = lease.New(n.table, s.Upstream, n.identity.Incarnation(), lease.Settings{Term: s.LeaseTerm, Skew: s.Skew}, now)
@@ -65,11 +65,11 @@
 		Decision: decision.Settings{
 			Blocks: s.Blocks, BlockTokens: s.BlockTokens, MaxBatch: s.MaxBatch, TokenGap: s.TokenGap, Risk: s.Risk,
 		},
-		Grace: s.Grace, Kept: s.Kept, UnackedBytes: s.UnackedBytes, RetainedBytes: s.RetainedBytes,
+		DetachGrace: s.Grace, KeepEnded: s.Kept, UnackedBytes: s.UnackedBytes, RetainedBytes: s.RetainedBytes,
 		CallWindow: s.CallWindow, AnswerBytes: s.AnswerBytes, Skew: s.Skew, CallTimeout: s.CallTimeout, LimitHeader: s.LimitHeader, LeavingHeader: s.LeavingHeader,
 	}, n.identity, b.lease, n.rec, sidecar.NewMetrics(n.reg), b.store.Active, now)
 	b.store.OnActivate = func(a *config.Active) { b.server.Compile(a.Config()) }
-	b.server.OnBehind = func(c *peer.Conn) { b.behind(c, 0) }
+	b.server.OnConfigBehind = func(c *peer.Conn) { b.behind(c, 0) }
 }
 
 func (b *sidecarBuilder) status() membership.Status {
@@ -129,7 +129,7 @@
 // keepLease renews the lease and logs when it is acquired and lost.
 func (b *sidecarBuilder) keepLease(ctx context.Context) {
 	held := false
-	b.lease.Keep(ctx, func(valid bool, err error) {
+	b.lease.RenewUntilDone(ctx, func(valid bool, err error) {
 		switch {
 		case valid && !held:
 			b.node.rec.Note(events.LeaseAcquired, "", "fence", b.lease.Fence())
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -39,8 +39,8 @@
 	MaxBody int64
 	// StartWithin is how long a generation may wait in queues before it starts.
 	StartWithin time.Duration
-	// GoneGrace is how long a generation continues after its caller has disconnected.
-	GoneGrace time.Duration
+	// DisconnectGrace is how long a generation continues after its caller has disconnected.
+	DisconnectGrace time.Duration
 	// ResumeWithin is how long the entry tries to reach a sidecar again after a lost connection before it
 	// ends the stream with an error.
 	ResumeWithin time.Duration
@@ -48,8 +48,8 @@
 	CallWithin time.Duration
 	// Attempts is the largest number of upstreams tried for one request.
 	Attempts int
-	// RetryPart is the ratio of retries to requests that the retry budget permits.
-	RetryPart float64
+	// RetryRatio is the ratio of retries to requests that the retry budget permits.
+	RetryRatio float64
 	// Operators maps the SHA-256 of an operator's token to the operator's name.
 	Operators map[string]string
 }
@@ -71,7 +71,7 @@
 	quarantine *quarantine.Set
 	// retrySchedule spreads the retries of callers that were refused while no upstream of their pool took
 	// requests.
-	retrySchedule placement.Returns
+	retrySchedule placement.RetrySchedule
 
 	draining      atomic.Bool
 	joined        atomic.Bool
@@ -136,11 +136,11 @@
 
 func (e *Entry) livez(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) }
 
-// Joined makes the entry serve requests. The caller calls it once the entry is on the VM list and has read
+// MarkJoined makes the entry serve requests. The caller calls it once the entry is on the VM list and has read
 // the head of the configuration after that: from then on no change is accepted without this entry.
-func (e *Entry) Joined() { e.joined.Store(true) }
+func (e *Entry) MarkJoined() { e.joined.Store(true) }
 
-// activeConfig returns the active configuration, nil before Joined.
+// activeConfig returns the active configuration, nil before MarkJoined.
 func (e *Entry) activeConfig() *config.Active {
 	if !e.joined.Load() {
 		return nil
@@ -166,7 +166,7 @@
 
 // Idle waits until no request is in flight. It returns false if ctx ends first.
 func (e *Entry) Idle(ctx context.Context) bool {
-	return e.inFlight.Idle(ctx)
+	return e.inFlight.WaitIdle(ctx)
 }
 
 // callerRequest is an authenticated request with its ID, its account and the configuration to serve it by.
@@ -261,7 +261,7 @@
 	var candidates []routing.Candidate
 	for _, u := range pool.Upstreams {
 		p, ok := e.set.Upstream(u.Name)
-		if !ok || !p.Usable() || p.Load().OpensAt().After(e.now()) {
+		if !ok || !p.Usable() || p.Load().ClosedUntil().After(e.now()) {
 			continue
 		}
 		peers[u.Name] = p
@@ -285,7 +285,7 @@
 		if !ok || !p.Usable() {
 			continue
 		}
-		if at := p.Load().OpensAt(); at.After(e.now()) && (first.IsZero() || at.Before(first)) {
+		if at := p.Load().ClosedUntil(); at.After(e.now()) && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
@@ -333,7 +333,7 @@
 	defer e.mu.Unlock()
 	b, ok := e.retryBudgets[pool]
 	if !ok {
-		b = routing.NewBudget(e.settings.RetryPart, retryBurst)
+		b = routing.NewBudget(e.settings.RetryRatio, retryBurst)
 		e.retryBudgets[pool] = b
 	}
 	return b
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -83,15 +83,15 @@
 	}
 	// Without a report, the late start alone marks the engine as faulty.
 	state, err := g.query(context.Background(), at, "a generation starts late")
-	if !started.Load() && (err != nil || state.Waiting+state.Unbegun == 0) {
+	if !started.Load() && (err != nil || state.Waiting+state.Prefilling == 0) {
 		g.markFaulty(upstream)
 	}
 }
 
 // markFaulty marks an engine as faulty and tells the other entries without delay.
 func (g *Gateway) markFaulty(upstream string) {
-	g.fleet.Note(upstream, fleet.Faulty)
-	g.peers.Urge()
+	g.fleet.RecordOutcome(upstream, fleet.Faulty)
+	g.peers.SendNow()
 }
 
 // logAttempt logs the choice of an engine and the data that it was based on.
@@ -131,7 +131,7 @@
 // handleNoAnswer handles an attempt that ended before the head of an answer arrived.
 func (s *stream) handleNoAnswer(ctx context.Context, st step, err error) outcome {
 	if ctx.Err() == nil {
-		s.g.fleet.Note(st.at.ID, fleet.Broken)
+		s.g.fleet.RecordOutcome(st.at.ID, fleet.Broken)
 		s.g.recordBrokenAnswer(s.rq, st.at, err)
 	}
 	s.g.rec.Note(events.AnswerRejected, s.rq.call.ID, "upstream", st.at.ID, "error", err)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, id := range c.failed {
-		c.g.fleet.Note(id, fleet.Failed)
+		c.g.fleet.RecordOutcome(id, fleet.Failed)
 	}
 }
 
@@ -189,7 +189,7 @@
 	if r.mayHaveRun() && (!c.rq.route.Repeats() || c.rq.attempts >= c.rq.route.MaxAttempts || !c.rq.run.MayRepeat()) {
 		return false
 	}
-	if len(c.tried) >= maxSends || !c.g.budget(c.rq.service.Name).Repeat(0) {
+	if len(c.tried) >= maxSends || !c.g.budget(c.rq.service.Name).TakeExtra(0) {
 		return false
 	}
 	return c.launch(ctx, "retry")
@@ -200,7 +200,7 @@
 	if !c.rq.route.Repeats() || c.rq.attempts >= c.rq.route.MaxAttempts || c.running == 0 || c.rq.run.Suspected() {
 		return
 	}
-	if !c.g.budget(c.rq.service.Name).Repeat(hedgeReserve) {
+	if !c.g.budget(c.rq.service.Name).TakeExtra(hedgeReserve) {
 		return
 	}
 	if c.launch(ctx, "hedge") {
@@ -315,7 +315,7 @@
 	switch {
 	case r.err != nil && ctx.Err() != nil:
 	case r.err != nil:
-		g.fleet.Note(r.upstream, fleet.Broken)
+		g.fleet.RecordOutcome(r.upstream, fleet.Broken)
 		g.recordBrokenAnswer(rq, u, r.err)
 	case r.verdict == protocol.NotRun:
 		g.markBusy(r.upstream, r.header)
@@ -325,15 +325,15 @@
 		// callRun.reportFailures reports the error once it is known whether another upstream serves
 		// the request.
 	default:
-		g.fleet.Note(r.upstream, fleet.Served)
+		g.fleet.RecordOutcome(r.upstream, fleet.Served)
 	}
 }
 
 // markBusy records that an upstream refused a request without running it, and the retry time that
 // the upstream stated.
 func (g *Gateway) markBusy(upstream string, header http.Header) {
-	g.fleet.Note(upstream, fleet.Busy)
-	if at := g.proto.ComeBack(header, g.now()); !at.IsZero() {
+	g.fleet.RecordOutcome(upstream, fleet.Busy)
+	if at := g.proto.RetryAt(header, g.now()); !at.IsZero() {
 		g.fleet.BusyUntil(upstream, at)
 	}
 }
@@ -341,7 +341,7 @@
 // forwardAnswer writes an upstream's answer to the caller unchanged.
 func (g *Gateway) forwardAnswer(rq *request, r result) {
 	h := rq.w.Header()
-	g.proto.PassHeader(r.header, h)
+	g.proto.CopyHeaders(r.header, h)
 	h.Set("Content-Length", strconv.Itoa(len(r.body)))
 	rq.w.WriteHeader(r.status)
 	// The connection logs failed writes after the last flush.
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -30,7 +30,7 @@
 	r := f.record(name)
 	r.Born, r.Version = born, born
 	f.fleet.Update([]fleet.Record{r}, nil, false, time.Time{})
-	for _, u := range f.fleet.Of(r.Service) {
+	for _, u := range f.fleet.Available(r.Service) {
 		if u.Name == name {
 			return u
 		}
@@ -125,12 +125,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			e := f.addEngine("a")
-			e.copies, e.eventInterval = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 5*time.Millisecond
+			e.copies, e.eventInterval = []protocol.CopyResult{{Outcome: protocol.NoSuchGeneration}}, 5*time.Millisecond
 			earlier := f.restart("a", 1)
 			result := f.startGeneration(tc.path)
 			if tc.breaksBefore {
 				e.crash()
-				f.waitUntil("the break is noticed", func() bool { return len(f.gateway.Streams()) == 0 })
+				f.waitUntil("the break is noticed", func() bool { return len(f.gateway.StreamingEngines()) == 0 })
 			}
 			if tc.leaves {
 				f.fleet.MarkLeaving(earlier.ID, "test")
@@ -162,7 +162,7 @@
 func TestNothingIsMovedFromAnEndedIncarnation(t *testing.T) {
 	f := newFixture(t)
 	a := f.addEngine("a")
-	a.copies, a.eventInterval, a.copyWait = []protocol.CopyResult{{Outcome: protocol.NoSuchRun}}, 20*time.Millisecond, make(chan struct{})
+	a.copies, a.eventInterval, a.copyWait = []protocol.CopyResult{{Outcome: protocol.NoSuchGeneration}}, 20*time.Millisecond, make(chan struct{})
 	earlier := f.restart("a", 1)
 	var results []chan answer
 	for range 3 {
@@ -306,10 +306,10 @@
 	shared := []protocol.PromptPart{{ID: "p", Tokens: 500}}
 	f.gateway.prefixes.note(earlier.ID, shared, time.Now())
 	f.gateway.loads.add(earlier.ID, gossip.Load{Running: 1, Held: 10})
-	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 3, Held: 30}})
+	f.gateway.SetPeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 3, Held: 30}})
 	later := f.restart("a", 2)
-	f.gateway.PeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 9, Held: 90}})
-	c := f.gateway.candidates(f.fleet.Of("llm"), nil, time.Now())
+	f.gateway.SetPeerLoad("b", map[string]gossip.Load{earlier.ID: {Running: 9, Held: 90}})
+	c := f.gateway.candidates(f.fleet.Available("llm"), nil, time.Now())
 	if len(c) != 1 || c[0].ID != later.ID || c[0].Load != (gossip.Load{}) || c[0].Rate != 0 {
 		t.Errorf("candidates %+v, want the later incarnation without load", c)
 	}
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -151,7 +151,7 @@
 			return
 		}
 	}
-	g.moveRoom.Note(false, g.now())
+	g.moveRoom.Record(false, g.now())
 	g.moveFailed(s, from, "no engine had room")
 }
 
@@ -166,7 +166,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held, engine := s.heldTokens(), s.rq.service.Engine
-	return &placement.Generation{Engine: engine, Prompt: held, Output: max(s.expectedTokens()-held, engine.EventTokens), Repeats: true}
+	return &placement.Generation{Engine: engine, Prompt: held, Output: max(s.expectedTokens()-held, engine.EventTokens), Repeatable: true}
 }
 
 // moveTo moves a generation to one engine. It returns true if another target should be
@@ -185,11 +185,11 @@
 			g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "to", target.ID, "why", "the target started again")
 			return true
 		}
-		g.moveRoom.Note(true, g.now())
+		g.moveRoom.Record(true, g.now())
 	case protocol.NoRoom:
-		g.fleet.Note(target.ID, fleet.Busy)
+		g.fleet.RecordOutcome(target.ID, fleet.Busy)
 		return true
-	case protocol.NoSuchRun:
+	case protocol.NoSuchGeneration:
 		g.met.moved("ended")
 		return false
 	default:
@@ -223,7 +223,7 @@
 		// The engine has stopped the generation and still holds its memory.
 		g.met.moved("no room for the rest")
 		s.recordFinalCopy(done, from, r.Handle, from)
-	case protocol.NoSuchRun:
+	case protocol.NoSuchGeneration:
 		g.met.moved("ended")
 	default:
 		g.moveFailed(s, from, "the generation could not be stopped")
@@ -310,18 +310,18 @@
 		if !g.incarnationKnown(from.ID) {
 			// The generation was lost with its engine's incarnation. The next incarnation
 			// may run it again and must not be told to stop it.
-			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
+			return protocol.CopyResult{Outcome: protocol.NoSuchGeneration}
 		}
 		r, err := g.sendCommand(ctx, from, g.proto.Copy(s.rq.call.ID, target.Address, stop))
 		if s.rq.caller.Err() != nil && (err != nil || r.Outcome != protocol.Copied) {
 			// The generation ends with its request.
-			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
+			return protocol.CopyResult{Outcome: protocol.NoSuchGeneration}
 		}
 		if err != nil {
 			g.rec.Note(events.StreamMoveFailed, s.rq.call.ID, "from", from.ID, "to", target.ID, "last", stop, "error", err)
 			return protocol.CopyResult{Outcome: protocol.CopyFailed}
 		}
-		if r.Outcome != protocol.CopyUnderWay {
+		if r.Outcome != protocol.CopyInProgress {
 			return r
 		}
 		select {
@@ -350,8 +350,8 @@
 	return g.proto.CopyResult(a.Status, body), nil
 }
 
-// Streams returns the engines that run streams of this entry, sorted.
-func (g *Gateway) Streams() []string {
+// StreamingEngines returns the engines that run streams of this entry, sorted.
+func (g *Gateway) StreamingEngines() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([]string, 0, len(g.streams))
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -42,7 +42,7 @@
 		s.advance(id, n)
 		s.recordPause()
 		if s.timeToFirstEvent > 0 && s.lastAt.Sub(s.rq.start) > s.timeToFirstEvent+suspectBlockTime {
-			s.rq.run.Steady()
+			s.rq.run.EndTrial()
 		}
 	}
 }
@@ -68,7 +68,7 @@
 // recordFirstEvent also sends the head of the answer to the caller.
 func (s *stream) recordFirstEvent(st step, answer *link.Answer, sent time.Time) {
 	g, now := s.g, s.g.now()
-	g.fleet.Note(st.at.ID, fleet.Served)
+	g.fleet.RecordOutcome(st.at.ID, fleet.Served)
 	if st.from != nil {
 		s.mu.Lock()
 		s.handover, s.copies = nil, nil
@@ -80,7 +80,7 @@
 		return
 	}
 	s.headSent = true
-	g.proto.PassHeader(answer.Header, s.rq.w.Header())
+	g.proto.CopyHeaders(answer.Header, s.rq.w.Header())
 	s.rq.w.WriteHeader(answer.Status)
 	s.timeToFirstEvent = now.Sub(s.rq.start)
 	g.met.observeFirstEvent(s.timeToFirstEvent)
@@ -102,7 +102,7 @@
 	s.mu.Unlock()
 	if !moving {
 		if ctx.Err() == nil {
-			s.g.fleet.Note(st.at.ID, fleet.Broken)
+			s.g.fleet.RecordOutcome(st.at.ID, fleet.Broken)
 			s.g.recordBrokenAnswer(s.rq, st.at, err)
 		}
 		s.g.rec.Note(events.AnswerRejected, s.rq.call.ID, "upstream", st.at.ID, "error", err, "after-event", s.lastEvent, "events", s.events, "framed", answer.Framed, "rest", strconv.Itoa(len(rest)))
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -17,7 +17,7 @@
 func busyState(now time.Time) State {
 	s := State{
 		Zone: "zone-a", Relay: "10.1.0.49:7200", Routes: 41, Confirmed: now.Add(-time.Second), Loads: map[string]Load{},
-		Retries: map[string]routing.Use{"models": {Requests: 120, Repeats: 4}, "plain": {Requests: 200, Repeats: 9}},
+		Retries: map[string]routing.Use{"models": {Requests: 120, Extra: 4}, "plain": {Requests: 200, Extra: 9}},
 	}
 	for i := range 10 {
 		s.Loads[fmt.Sprintf("i-7f3a91c2e%d", i)] = Load{Running: 1, Tokens: 3500 + i, Prefill: 3000, Held: 3100}
@@ -36,7 +36,7 @@
 
 func encodeState(tb testing.TB, s State, now time.Time) []byte {
 	tb.Helper()
-	version, b, err := encodeBody(Settings{Name: "front-zone-a-13", Life: "73b131248192"}, s, time.Minute, now)
+	version, b, err := encodeBody(Settings{Name: "front-zone-a-13", Incarnation: "73b131248192"}, s, time.Minute, now)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -90,9 +90,9 @@
 	want.StopBy, want.StoreLost, want.Leaving = now.Add(time.Second), true, []string{"e"}
 	want.Faults = map[string]time.Time{"e": now.Add(-time.Second)}
 	want.Failures = map[string]int{"f": 3}
-	want.Suspects = []quarantine.Word{{
+	want.Suspects = []quarantine.Report{{
 		Request: quarantine.Request{Fingerprint: quarantine.Fingerprint{1, 2}, Route: "r", Account: "acme"},
-		Ends:    map[string]time.Time{"e": now.Add(-2 * time.Second)}, Void: []string{"d"}, Runs: true,
+		Crashes: map[string]time.Time{"e": now.Add(-2 * time.Second)}, Voided: []string{"d"}, Runs: true,
 	}}
 	m, err := decode(encodeState(t, want, now))
 	if err != nil {
@@ -152,7 +152,7 @@
 	now := time.Now()
 	f.Add(encodeState(f, busyState(now), now))
 	f.Add(encodeState(f, State{}, now))
-	f.Add(encodeState(f, State{Suspects: []quarantine.Word{{Ends: map[string]time.Time{"e": now}}}}, now))
+	f.Add(encodeState(f, State{Suspects: []quarantine.Report{{Crashes: map[string]time.Time{"e": now}}}}, now))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decode(b)
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -22,7 +22,7 @@
 }
 
 type selectResult struct {
-	Events []events.Entry `json:"events"`
+	Events []events.Event `json:"events"`
 }
 
 // Methods returns the peer methods that serve the events of this process.
@@ -41,7 +41,7 @@
 // Gather collects the events about a request from all processes on the VM list, or all events if
 // request is empty. It also returns the names of the VMs of processes that could not be reached or
 // returned an error.
-func Gather(ctx context.Context, set *membership.Set, request string) (all []events.Entry, unreachable []string) {
+func Gather(ctx context.Context, set *membership.Set, request string) (all []events.Event, unreachable []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, p := range set.Peers() {
@@ -57,7 +57,7 @@
 		})
 	}
 	wg.Wait()
-	slices.SortStableFunc(all, func(a, b events.Entry) int {
+	slices.SortStableFunc(all, func(a, b events.Event) int {
 		if a.Stamp.Before(b.Stamp) {
 			return -1
 		}
@@ -69,7 +69,7 @@
 	return all, unreachable
 }
 
-func fetchEvents(ctx context.Context, p *membership.Peer, request string) ([]events.Entry, error) {
+func fetchEvents(ctx context.Context, p *membership.Peer, request string) ([]events.Event, error) {
 	c := p.Conn()
 	if c == nil {
 		return nil, fmt.Errorf("%w: %s", peer.ErrUnreachable, p.Address())
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -10,7 +10,7 @@
 mutant call-record internal/sidecar/callbook.go 's/if !ok \{\n\t\tc = &call\{state: callStarted/if !ok || ok {\n\t\tc = &call{state: callStarted/' internal/sidecar TestSecondCopyOfACall
 mutant call-age $calls 's/case issued\.Before\(exclusiveSince\.Add\(s\.settings\.Skew\)\):/case false:/' internal/sidecar TestIncarnationRunsOnlyKeys
 mutant call-lease $calls 's/if !s\.lease\.Valid\(\) \{\n\t\treturn unknown/if false {\n\t\treturn unknown/' internal/sidecar TestSettleWithoutLease
-mutant call-last-look $calls 's/if !id\.Ticket\(\) && !s\.lease\.Valid\(\)/if false/' internal/sidecar TestDeadlineAndLease
+mutant call-last-look $calls 's/if !id\.IsTicket\(\) && !s\.lease\.Valid\(\)/if false/' internal/sidecar TestDeadlineAndLease
 mutant call-deadline $calls 's/if p\.StartBy > 0 && s\.now/if false && s.now/' internal/sidecar TestDeadlineAndLease
 mutant call-ticket-bound $calls 's/ \|\| id\.Incarnation\(\) != s\.identity\.Incarnation\(\)//' internal/sidecar TestIncarnationRunsOnlyKeys
 mutant settle-tombstone internal/sidecar/callbook.go 's/c = &call\{state: callTombstone, expiresAt[^\n]*\n\t\tr\.calls\[id\] = c/c = &call{state: callTombstone}/' internal/sidecar TestSettleBars
@@ -36,7 +36,7 @@
 mutant gateway-torn $gateway/eventreader.go 's/if n := wholeEvents\(e\.buf\[e\.start:e\.end\]\); n > 0/if n := e.end - e.start; n > 0/' $gateway TestBrokenStream
 mutant gateway-whole $gateway/relay.go 's/if errors\.Is\(err, io\.EOF\) && answer\.Framed && len\(rest\) == 0 && s\.headSent \{/if _ = errors.Is(err, io.EOF); s.headSent {/' $gateway TestBrokenStream
 mutant gateway-second-copy $gateway/move.go 's/s\.copies = append\(s\.copies, held\)/_ = append(s.copies, held)/' $gateway TestMove
-mutant gateway-faulty $gateway/attempt.go 's/s\.g\.markFaulty\(st\.at\.ID\)/s.g.fleet.Note(st.at.ID, fleet.Failed)/' $gateway TestEngineThatFailsAtOnce
+mutant gateway-faulty $gateway/attempt.go 's/s\.g\.markFaulty\(st\.at\.ID\)/s.g.fleet.RecordOutcome(st.at.ID, fleet.Failed)/' $gateway TestEngineThatFailsAtOnce
 mutant gateway-silent $gateway/attempt.go 's/\tg\.markFaulty\(upstream\)\n//' $gateway TestEngineThatStaysSilent
 mutant placement-spread $placement/target.go 's/drawIndex\(sameZone, v\.Random\(\)\)/drawIndex(sameZone, 0)/' $gateway TestTargetsOfMoves
 mutant placement-room $placement/room.go 's/return ErrMemory/return nil/' internal/placement TestRoom
@@ -45,7 +45,7 @@
 mutant gateway-silent-load $gateway/gateway.go 's/g\.loads\.keepPeers\(func/_ = peers\n\t_ = (func/' $gateway TestLoadOfUnreachableEntries
 mutant gateway-stop-longest $gateway/request.go 's/g\.eventInterval\.remaining\(rq\.call\.MaxOutput,/g.eventInterval.remaining(rq.call.Hint,/' $gateway TestStoppingGatewayIgnoresTheHint
 mutant gateway-back-after-stop $gateway/stop.go 's/case s\.anyServes:/case false:/' $gateway TestRetryDelayAfterStop
-mutant gateway-stop-answers $gateway/stop.go 's/\ttime\.AfterFunc\(end\.Add\(-AnswerSpare\)[^\n]*\n//' $gateway TestStopAnswersRequestsInFlight
+mutant gateway-stop-answers $gateway/stop.go 's/\ttime\.AfterFunc\(end\.Add\(-AnswerReserve\)[^\n]*\n//' $gateway TestStopAnswersRequestsInFlight
 mutant gateway-half-closed $gateway/request.go 's/\tg\.proto\.Refuse\(rq\.w, &rq\.call, protocol\.Refusal\{Status: status, Reason: reason\}, g\.now\(\)\)\n\}/\tpanic(http.ErrAbortHandler)\n}/' $gateway TestCallerThatOnlyStopsSending
 
 connlimit=internal/connlimit
@@ -58,23 +58,23 @@
 mutant connection-accepting $connlimit/connlimit.go 's/\t\t\t<-listener\.done\n/\t\t\t_ = listener.done\n/' $connlimit TestDrainWaits
 mutant connection-late-stop internal/daemon/gatewayhttp.go 's/\t\tb\.giveUp\(ctx\)\n/\t\t_ = b.giveUp\n/' internal/daemon TestLateStop
 mutant gateway-at-the-end $gateway/call.go 's/return c\.answerAtDeadline\(ctx, best\), true/_ = c.answerAtDeadline\n\t\t\treturn result{err: ctx.Err()}, true/' $gateway 'TestAnswerReadyAtDeadline|TestUpstreamErrorIsPreferred'
-mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.Begun\(rq\.w\) \{/if true {/' $gateway TestPanicIsAnswered
+mutant gateway-panic-answered $gateway/request.go 's/if connlimit\.ResponseStarted\(rq\.w\) \{/if true {/' $gateway TestPanicIsAnswered
 mutant relay-packed internal/relay/records.go 's/return s2\.Encode\(nil, b\), nil/return s2.EncodeBetter(nil, b)[:0:0], nil/' internal/relay TestRecordsRoundTrip
 mutant placement-overload-age $placement/overload.go 's/min\(ageFactor\*share, 1\)/0*share/' internal/placement TestRetryAfterGrowsWithOverload
 mutant gateway-blame $gateway/call.go 's/if len\(c\.failed\) > 1 && !served \{/if false {/' $gateway TestFailureIsAttributed
 mutant gateway-copy-outlasts $gateway/move.go 's/context\.WithTimeout\(context\.Background\(\), copyTimeout\)/context.WithTimeout(s.rq.caller, copyTimeout)/' $gateway TestCopyThatOutlasts
 mutant gateway-brief-stay $gateway/move.go 's/ && !s\.endsWithin\(typicalCopyTime\)//' $gateway TestMovable
-mutant gateway-told-reading $gateway/attempt.go 's/state\.Unbegun == 0/state.Unbegun >= 0/' $gateway TestEngineThatStaysSilent
+mutant gateway-told-reading $gateway/attempt.go 's/state\.Prefilling == 0/state.Prefilling >= 0/' $gateway TestEngineThatStaysSilent
 mutant placement-reserve $placement/reserve.go 's/leavingShare\*shareOf/leavingShare + 0*shareOf/' internal/placement TestReserve
 mutant placement-moved-in-time $placement/reserve.go 's/usable = min\(usable, e\.CopyRate/usable = min(usable, 1e9*e.CopyRate/' internal/placement TestUsable
 mutant wire-no-rank platform/caller.go 's/(\tif a\.From != nil \{)/\th.Set(headerPriority, "2")\n$1/' platform TestForwardAttempt
 mutant fleet-failing internal/fleet/failing.go 's/failingFactor = 3/failingFactor = 0/' internal/fleet TestFailing
 mutant relay-hold internal/relay/store.go 's/return min\(max\(left, minLongPollWait\), s\.settings\.Wait\)/_ = left\n\treturn s.settings.Wait/' internal/relay TestLongPollEndsBeforeTableIsStale
 mutant retries-together internal/routing/window.go 's/\(recent\+1\)\*float64\(sharers\) > available\+recent/recent+1 > available+recent+0*float64(sharers)/' internal/routing TestConcurrentEntries
-mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Repeats\), privateFraction\*share\)/float64(u.Repeats)/' internal/routing TestIdleEntries
+mutant retries-kept internal/routing/window.go 's/max\(float64\(u\.Extra\), privateFraction\*share\)/float64(u.Extra)/' internal/routing TestIdleEntries
 mutant link-pairs internal/link/link.go 's/if p\.answersPreviousRequest\(c, req, resp\) \{/if false {/' internal/link TestRepeatedAnswerIsSkipped
 mutant link-quiet internal/link/link.go 's/now\.Before\(c\.expires\) && openAndSilent\(c\.Conn\)/now.Before(c.expires)/' internal/link 'TestConnectionReuse'
-mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Life//' internal/gossip TestEchoOfEarlierIncarnation
+mutant gossip-life internal/gossip/exchange.go 's/ && m\.echo\.Life == n\.settings\.Incarnation//' internal/gossip TestEchoOfEarlierIncarnation
 mutant relay-stale internal/relay/store.go 's/err == nil && age > oldest \{/false \&\& age > oldest {/' internal/relay TestStoreCalledWhenDelegate
 mutant fleet-back internal/fleet/set.go 's/if m\.state != Serving && !m\.selfReported && !stale \{/if m.state == Lapsed \&\& !stale {/' internal/fleet TestUpstreamComesBack
 mutant routes-monotone internal/belief/routes.go 's/if r\.table != nil && table\.Version\(\) < r\.table\.Version\(\) \{/if false {/' $gateway TestRouteTableVersionNeverDecreases
@@ -84,7 +84,7 @@
 mutant relay-turns internal/relay/store.go 's/if self \|\| s\.takeTurn\(\) \{/if self || s.takeTurn() || true {/' internal/relay TestStoreCallsAreBounded
 mutant relay-second-delegate internal/relay/store.go 's/for range maxAsked \{\n\t\tvar p Peer/for range 1 {\n\t\tvar p Peer/' internal/relay TestSecondDelegate
 mutant relay-told-anew internal/relay/log.go 's/t\.cachedChanges, t\.cachedTable = reply\{\}, reply\{\}/t.cachedTable = reply{}/' internal/relay TestRepliesAreEncodedOnce
-mutant follower-pause internal/belief/follower.go 's/f\.settings\.Wait - f\.now\(\)\.Sub\(f\.confirmed\)/f.settings.Wait/' internal/belief TestPauseAfterAChange
+mutant follower-pause internal/belief/follower.go 's/f\.settings\.HoldTime - f\.now\(\)\.Sub\(f\.confirmed\)/f.settings.HoldTime/' internal/belief TestPauseAfterAChange
 mutant fleet-closed internal/fleet/unreadable.go 's/ && !s\.closedZones\[m\.Zone\]//' internal/fleet TestClosedZone
 mutant fleet-closed-draw internal/fleet/set.go 's/m\.state == Serving && s\.acceptsWork\(m\)/m.state == Serving/' internal/fleet TestClosedZone
 mutant fleet-closed-lapsed internal/fleet/set.go 's/m\.state == Lapsed && s\.acceptsWork\(m\)/m.state == Lapsed/' internal/fleet TestClosedZone
@@ -150,14 +150,14 @@
 mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[startID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.byName[name].ID] {/' internal/fleet TestLateInformationAboutAnEarlierStart
 mutant start-version-kept internal/daemon/upstreamrows.go 's/\t\tr\.Version = row\.Version\n//' internal/daemon TestUpstreamChangesKeep
 mutant start-removal-version internal/daemon/upstreamrows.go 's/, Version: row\.Version\}\)/})/' internal/daemon TestUpstreamChangesKeep
-mutant start-report $gateway/inquire.go 's/ && state\.Born != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
+mutant start-report $gateway/inquire.go 's/ && state\.StartedAt != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
 mutant start-copy-target $gateway/move.go 's/if !g\.incarnationKnown\(target\.ID\) \{/if false {/' $gateway TestCopyToAnEndedIncarnation
 mutant start-orders $gateway/move.go 's/if !g\.incarnationKnown\(from\.ID\) \{/if false {/' $gateway TestNothingIsMovedFromAnEndedIncarnation
 mutant start-release $gateway/move.go 's/if !g\.incarnationKnown\(held\.at\.ID\) \{/if false {/' $gateway TestCopiesHeldByAnEndedIncarnation
 mutant start-copies $gateway/continue.go 's/if s\.g\.incarnationKnown\(held\.at\.ID\) \{/if true {/' $gateway TestCopiesHeldByAnEndedIncarnation
 mutant start-wire-name $gateway/request.go 's/Upstream: u\.Name,/Upstream: u.ID,/' $gateway TestCallsToAnEndedIncarnation
 mutant start-row platform/upstreams.go 's/Born: f\.born\(\), //' platform TestBornFieldOfUpstreamRow
-mutant start-reported platform/engine.go 's/\t\tBorn:    r\.Born,\n//' platform TestBornFieldOfEngineReport
+mutant start-reported platform/engine.go 's/\t\tStartedAt:  r\.Born,\n//' platform TestBornFieldOfEngineReport
 
 # Quarantine of poison requests.
 held=internal/quarantine
@@ -181,13 +181,13 @@
 mutant held-explained-by-one $held/set.go 's/if s\.explainedByOne\(u\) \{\n\t\treturn u\.unconfirmed\(\)\n\t\}/if len(s.explained.unexplained(u)) == 0 {\n\t\treturn u.unconfirmed()\n\t}/' $held TestCrashesExplainedByTwoRequests
 mutant held-turn $held/turn.go 's/return slices\.Index\(names, s\.name\)%groups == int\(since\/turnDuration\)%groups/return groups > 0/' $held TestEntriesTakeTurns
 mutant held-apart $gateway/crashing.go 's/if rq\.run\.Isolation\(\) != quarantine\.Apart \{/if true {/' $gateway TestSuspectsAreIsolated
-mutant held-most-there $gateway/crashing.go 's/if !quarantine\.MostThere\(available, len\(list\)\) \{/if available < 0 {/' $gateway TestSuspectsAreIsolated
+mutant held-most-there $gateway/crashing.go 's/if !quarantine\.EnoughAvailable\(available, len\(list\)\) \{/if available < 0 {/' $gateway TestSuspectsAreIsolated
 mutant held-trials-told $held/word.go 's/\t\t\tw\.At = upstream\n/\t\t\t_ = upstream\n/' $held TestTrialsAreGossiped
 mutant held-runs-told $held/word.go 's/u\.setRunKind\(start, w\.kind\(start\)\)/u.setRunKind(start, unknownRun)/' $held TestTrialsAreGossiped
 mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsAreIsolated
 mutant held-entry-apart internal/entry/crashing.go 's/case isolation != quarantine\.Apart:/case true:/' internal/entry TestIsolate
 mutant held-entry-down internal/sidecar/starts.go 's/sentWhileUp := !u\.down \|\| !u\.downAt\.Before\(sentAt\)/sentWhileUp := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
-mutant held-void-told $held/word.go 's/\t\t\tw\.Void = append\(w\.Void, start\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
+mutant held-void-told $held/word.go 's/\t\t\tw\.Voided = append\(w\.Voided, start\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
 mutant held-told-anew $held/word.go 's/\tif len\(u\.activeCrashes\(\)\) >= gossipByAllThreshold \{\n\t\treturn true\n\t\}\n//' $held TestNewEntryLearnsFromGossip
 mutant held-bounded $held/set.go 's/\t\ts\.evictIfFull\(\)\n//' $held TestSuspectsAreBounded
 mutant held-ends-bounded $held/suspect.go 's/if len\(u\.crashes\) >= maxCrashes \{/if false {/' $held TestCrashesOfOneRequestAreBounded
@@ -198,22 +198,22 @@
 mutant held-replaced $held/set.go 's/case replaced\(lost\.routedTo\):/case false:/' $held TestConfirmationOfLostResponses
 mutant held-account $held/fingerprint.go 's/\{method, host, target, account\}/{method, host, target}/' $held TestFingerprintOf
 mutant held-parts $held/fingerprint.go 's/\t\t_, _ = h\.Write\(size\[:\]\)\n//' $held TestFingerprintOf
-mutant held-ended $gateway/crashing.go 's/\t\tg\.quarantine\.Ended\(upstream\.ID\)\n//' $gateway TestOnlyCrashesMakeASuspect
+mutant held-ended $gateway/crashing.go 's/\t\tg\.quarantine\.ConfirmCrash\(upstream\.ID\)\n//' $gateway TestOnlyCrashesMakeASuspect
 mutant held-leaving $gateway/crashing.go 's/known && u\.State\(\) == fleet\.Leaving/known \&\& u.State() < 0/' $gateway TestOnlyCrashesMakeASuspect
-mutant held-lost-answer $gateway/crashing.go 's/g\.quarantine\.Lives\(upstream\.ID\)/g.quarantine.Ended(upstream.ID)/' $gateway TestOnlyCrashesMakeASuspect
+mutant held-lost-answer $gateway/crashing.go 's/g\.quarantine\.ConfirmAlive\(upstream\.ID\)/g.quarantine.ConfirmCrash(upstream.ID)/' $gateway TestOnlyCrashesMakeASuspect
 mutant held-hedge $gateway/call.go 's/ \|\| c\.rq\.run\.Suspected\(\) \{/ {/' $gateway TestSuspectIsNotHedged
 mutant held-call $gateway/call.go 's/\t\tg\.recordBrokenAnswer\(rq, u, r\.err\)\n//' $gateway TestPoisonRequestIsQuarantined
 mutant held-stream $gateway/attempt.go 's/\t\ts\.g\.recordBrokenAnswer\(s\.rq, st\.at, err\)\n//' $gateway TestPoisonRequestIsQuarantined
-mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Hear\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
+mutant held-alone internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Merge\(from, s\.Suspects\)\n//' platform/soak TestCrashingRequest
 mutant held-untold internal/gossip/message.go 's/Suspects: quarantine\.Encode\(s\.Suspects/Suspects: quarantine.Encode(s.Suspects[:0]/' platform/soak TestCrashingRequest
-mutant held-carried internal/directory/directory.go 's/\t\t\td\.carried\.Heard\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedValueSurvives
+mutant held-carried internal/directory/directory.go 's/\t\t\td\.rowData\.OnRead\(r\.Name, v\.Carried, v\.age\(s\.Clock\)\)\n//' internal/directory TestCarriedValueSurvives
 mutant held-renewed internal/directory/directory.go 's/\t\t\trenewalDue = true\n//' internal/directory TestCarriedValueSurvives
-mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Recall\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
+mutant held-recalled internal/daemon/gatewaypeers.go 's/\tb\.gateway\.Quarantine\(\)\.Restore\(/\t_ = (/' platform/soak TestCrashingRequestIsKnown
 mutant held-written internal/daemon/gatewaypeers.go 's/\t\tb\.directory\.RenewSoon\(\)\n//' platform/soak TestCrashingRequestIsKnown
 mutant held-sidecar-starts internal/sidecar/starts.go 's/u\.restarts, u\.down = u\.restarts\+1, false/u.down = false/' internal/sidecar TestUpstreamIncarnations
-mutant held-entry-generation internal/entry/completions.go 's/\t\te\.reportCrash\(j\.run, part\.EndedWith\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
+mutant held-entry-generation internal/entry/completions.go 's/\t\te\.reportCrash\(j\.run, part\.EndedIncarnation\(\)\)\n//' internal/scenario 'TestRequestThatCrashesUpstreams$'
 mutant held-entry-call internal/sidecar/calls.go 's/\treturn s\.incarnations\.endedDuring\(ctx, sentAt\)\n/\treturn ""\n/' internal/scenario 'TestRequestThatCrashesUpstreams$'
-mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.Broke\(incarnation\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
+mutant held-entry-sidecar internal/entry/crashing.go 's/\trun\.ResponseLost\(incarnation\)\n\tgo func/\tgo func/' internal/scenario TestRequestThatCrashesSidecars
 mutant held-entry-told internal/membership/set.go 's/quarantine\.Encode\(status\.Suspects/quarantine.Encode(status.Suspects[:0]/; s/process, r\.Suspects\)/process, r.Suspects[:0])/' internal/scenario 'TestRequestThatCrashesUpstreams$'
 
 mutant stop-noticed-late internal/daemon/gatewayhttp.go 's/signalled, earliest = b\.stalls\.earliestSignal\(\), /signalled, earliest = time.Now(), /' internal/daemon TestStopSignalTimes
@@ -239,7 +239,7 @@
 # Rate limits of upstreams.
 limits=internal/limits
 mutant limits-part $limits/grant.go 's/if 2\*heard > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
-mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
+mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.BroadcastTime\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
 mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(observed\.Start, l\) != s\.name:/case s.granterOf(observed.Start, l) == "":/' $limits TestAnswers
 mutant limits-asked-twice $limits/grant.go 's/if !repeated \{/if _ = repeated; true {/' $limits TestAnswers
 mutant limits-leaves $limits/grant.go 's/s\.stopping && i == 0 \|\| /i < 0 || /' $limits TestStoppingGranterHandsOver
@@ -253,7 +253,7 @@
 mutant limits-settled $limits/peers.go 's/ \|\| !p\.acknowledged \|\| p\.wantsAck//' $limits TestRestartedEntryAgreesOnTheGranter
 mutant limits-asks $limits/peers.go 's/ \|\| p\.wantsAck//' internal/gossip TestReceiversOfLimitMessages
 mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestGranterCandidates
-mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestHeard
+mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestStalePeersAreNotLive
 mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestGranterCandidates
 mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestSentNotBefore
 mutant limits-no-permit $gateway/permit.go 's/err = g\.limits\.Take\(ctx, u\.ID\)/err = ctx.Err()/' $gateway TestRateLimitOfUpstreamIsObeyed
@@ -261,10 +261,10 @@
 mutant limits-target $gateway/choose.go 's/g\.chooseTargetAmong\(s, from, g\.excludeLimited\(exclude\)\)/g.chooseTargetAmong(s, from, exclude)/' $gateway TestMovesPreferUnlimitedEngines
 mutant limits-other-answer $gateway/limits.go 's/if h\.header\.Get\(g\.proto\.IDHeader\) != rq\.call\.ID \{/if h.header == nil {/' $gateway 'TestLimitInAnswerToAnotherRequest|TestAnswersThatEndALimit'
 mutant limits-failure $gateway/limits.go 's/ && h\.complete \{/ {/' $gateway TestAnswersThatEndALimit
-mutant limits-stop $gateway/stop.go 's/\tg\.limits\.Leave\(\)\n//' $gateway TestStoppingEntryHandsOverGranting
+mutant limits-stop $gateway/stop.go 's/\tg\.limits\.StopGranting\(\)\n//' $gateway TestStoppingEntryHandsOverGranting
 mutant limits-wait $gateway/permit.go 's/if at\.After\(until\) \|\|/if !at.IsZero() ||/' $gateway TestResumedGenerationWaitsForAPermit
 mutant limits-callers platform/caller.go 's/headerNotRun, headerLimit,/headerNotRun,/' platform TestLimitHeaderOfRequestAndResponse
-mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.ComeBack\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.ComeBack(header, g.now()); at.IsZero()/' $gateway TestRetryTimeOfUpstreamIsObeyed
+mutant limits-come-back $gateway/call.go 's/if at := g\.proto\.RetryAt\(header, g\.now\(\)\); !at\.IsZero\(\)/if at := g.proto.RetryAt(header, g.now()); at.IsZero()/' $gateway TestRetryTimeOfUpstreamIsObeyed
 mutant limits-sidecar-call internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.takePermit\(ctx\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestServiceGetsNoMoreCallsThanItsRateLimit
 mutant limits-sidecar-once internal/sidecar/calls.go 's/if opensAt, ok := s\.limiter\.awaitPermit\(ctx, s\.permitDeadline\(p\)\); !ok \{/if opensAt, ok := s.permitDeadline(p), true; !ok {/' internal/sidecar TestCallWaitsForAPermit
 mutant limits-sidecar-queued internal/sidecar/server.go 's/if opensAt, ok := s\.limiter\.takePermit\(context\.Background\(\)\); !ok \{/if opensAt, ok := s.limiter.opensAt(), true; !ok {/' internal/sidecar TestQueuedGenerationNeedsAPermit
@@ -275,16 +275,16 @@
 mutant start-asks internal/relay/store.go 's/\tfor range maxAsked \{\n\t\tp, ok, _ := s\.source\(\)\n\t\tif !ok \{/\tfor range maxAsked {\n\t\tp, ok, _ := s.source()\n\t\tif ok || !ok {/' internal/relay TestInitialListAsksDelegate
 mutant start-waits internal/relay/store.go 's/\ts\.awaitPeerList\(ctx\)\n//' internal/relay TestInitialListWaitsForPeers
 mutant start-held internal/relay/server.go 's/\t\tcase <-signals\.changed:\n\t\tcase <-end\.C:\n\t\t\treturn nil, err/\t\tcase <-signals.confirmed:\n\t\tdefault:\n\t\t\treturn nil, err/' internal/relay TestInitialListAsksDelegate
-mutant start-together internal/directory/begin.go 's/sleep\(ctx, randomUpTo\(d\.settings\.TogetherWithin\)\)/_ = d.settings.TogetherWithin/' internal/directory TestHundredsThatStartTogether
+mutant start-together internal/directory/begin.go 's/sleep\(ctx, randomUpTo\(d\.settings\.FirstReadSpread\)\)/_ = d.settings.FirstReadSpread/' internal/directory TestHundredsThatStartTogether
 mutant start-rows internal/directory/begin.go 's/\t\td\.awaitRenewalRequest\(ctx, randomUpTo\([^\n]*\n//; s/\/\/ awaitRenewalRequest returns/var _ = (*Directory).awaitRenewalRequest\n\n\/\/ awaitRenewalRequest returns/' internal/directory TestHundredsThatStartTogether
 mutant zone-delegates internal/roster/roster.go 's/return entries > maxDirectEntries/return entries < 0/' internal/relay TestRelayTopology
 mutant zone-size internal/roster/roster.go 's/cmp\.Compare\(b\.Size\.Cores, a\.Size\.Cores\), //' internal/roster TestDelegatesAreTheLargest
 mutant zone-more internal/roster/roster.go 's/\(entries\+entriesPerDelegate-1\)\/entriesPerDelegate/0*entries/' internal/roster TestEntriesPerDelegateAreBounded
 mutant zone-confirmed internal/relay/server.go 's/case <-signals\.confirmed:/case <-chan struct{}(nil):/' internal/relay TestConfirmationEndsLongPoll
 mutant zone-turns internal/relay/turns.go 's/maxTurnTakers = 32/maxTurnTakers = 1 << 20/' internal/relay TestTurnsAreLimited
-mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.UrgeEach()/' internal/gossip TestEntryThatAppears
+mutant appears-to-all internal/gossip/exchange.go 's/n\.greetSoon\(m\.body\.From\)/n.Broadcast()/' internal/gossip TestEntryThatAppears
 mutant urgent-direct $spread 's/if !n\.usesDelegates\(\) \{/if n.usesDelegates() || true {/' internal/gossip TestUrgentMessagesAreBounded
-mutant urgent-fallback $spread 's/\t\tn\.UrgeEach\(\)\n\t\tif n\.retryForward\(\) \{\n\t\t\tn\.Urge\(\)\n\t\t\}/\t\t_ = n.retryForward/' internal/gossip TestStateThatNoDelegateForwards
+mutant urgent-fallback $spread 's/\t\tn\.Broadcast\(\)\n\t\tif n\.retryForward\(\) \{\n\t\t\tn\.SendNow\(\)\n\t\t\}/\t\t_ = n.retryForward/' internal/gossip TestStateThatNoDelegateForwards
 mutant urgent-ahead internal/gossip/bundle.go 's/ \|\| n\.isFromFuture\(p, m\.body\.Sent\)//' internal/gossip TestInvalidForwardedStates
 mutant urgent-life internal/gossip/bundle.go 's/ \|\| p\.incarnation != m\.body\.Life \|\| m\.body\.Sent/ || m.body.Sent/' internal/gossip TestInvalidForwardedStates
 mutant silent-untold $spread 's/\tif n\.delegate \{\n\t\tn\.reportSilent\(now\)\n\t\}\n/\t_ = n.reportSilent\n/' internal/gossip TestSilentEntriesAreForgotten
@@ -298,7 +298,7 @@
 mutant rest-at-once $gateway/permit.go 's/if err != nil && g\.allInBackOff\(service, exclude\)/if false/' internal/gateway TestAllUpstreamsInBackOff
 mutant rest-latest internal/fleet/backoff.go 's/m\.backOffUntil = later\(m\.backOffUntil, (.*)\)\n/m.backOffUntil = $1\n/' internal/fleet TestLatestBackOffApplies
 mutant rest-one internal/fleet/backoff.go 's/m\.InBackOff\(s\.now\(\)\) && m\.backOffProbed/false/' internal/fleet TestOneProbePerBackOff
-mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(ReturnEach\)\n//' internal/placement TestCallersRetryInOrder
+mutant rest-order internal/placement/returns.go 's/\tr\.next\[service\] = at\.Add\(RetryInterval\)\n//' internal/placement TestCallersRetryInOrder
 mutant leaving-peer internal/fleet/set.go 's/s\.markLeaving\(id, entry, true\)/s.markLeaving(id, entry, false)/' internal/fleet TestSelfReportedLeaveIsFinal
 mutant leaving-lapsed internal/fleet/set.go 's/if m\.state == Lapsed \{\n\t\t\/\/ The row/if false {\n\t\t\/\/ The row/; s/\tm\.expiresAt = time\.Time\{\}\n\ts\.release/\ts.release/' internal/fleet TestSelfReportedLeaveIsFinal
 mutant leaving-told internal/fleet/set.go 's/if recent \|\| !m\.Leaving && unrecorded <= maxUnrecorded/if recent/' internal/fleet TestUnrecordedLeaveStays
