--- a/internal/fleet/backoff.go
+++ b/internal/fleet/backoff.go
@@ -6,7 +6,7 @@
 // mistake.
 const maxBackOff = time.Hour
 
-// BackOff records until when an upstream wants no requests of this entry. The latest of several
+// BackOff records until when an upstream takes no requests of this entry. The latest of several
 // times applies, in whatever order they arrive, and a successful answer in between does not end the
 // backoff.
 func (s *Set) BackOff(id string, until time.Time) {
@@ -25,9 +25,9 @@
 	s.anyBackOffUntil = later(s.anyBackOffUntil, m.backOffUntil)
 }
 
-// inheritBackOff takes over the backoff of the previous start, which may be nil, if it was asked
-// for since this start began. Until the record of a new start is read, its answers are attributed
-// to the previous start.
+// inheritBackOff takes over the backoff of the previous incarnation, which may be nil, if it was asked
+// for since this incarnation began. Until the record of a new incarnation is read, its answers are attributed
+// to the previous incarnation.
 func (m *member) inheritBackOff(previous *member) {
 	if previous != nil && previous.ID != m.ID && previous.backOffNotedAt.UnixMilli() >= m.Born {
 		m.backOffUntil, m.backOffNotedAt, m.backOffProbed = previous.backOffUntil, previous.backOffNotedAt, previous.backOffProbed
--- a/internal/fleet/backoff_test.go
+++ b/internal/fleet/backoff_test.go
@@ -38,15 +38,15 @@
 	}
 }
 
-func TestBackOffEndsWithTheStart(t *testing.T) {
+func TestBackoffEndsWithItsIncarnation(t *testing.T) {
 	f := newFixture()
-	f.Update([]Record{startRecord("a", 100, 5)}, nil, true, time.Time{})
+	f.Update([]Record{incarnationRecord("a", 100, 5)}, nil, true, time.Time{})
 	first := f.eligible("a")[0]
-	f.Update([]Record{startRecord("a", 200, 8)}, nil, false, time.Time{})
+	f.Update([]Record{incarnationRecord("a", 200, 8)}, nil, false, time.Time{})
 	f.BackOff(first, f.at.Add(time.Minute))
 	for _, u := range f.Of("llm") {
 		if u.InBackOff(f.at) {
-			t.Errorf("%s is in backoff because of the previous start", u.ID)
+			t.Errorf("%s is in backoff because of the previous incarnation", u.ID)
 		}
 	}
 }
@@ -74,22 +74,22 @@
 	}
 }
 
-// Guards against requests to a start that asked for backoff before its record was read. Its answers
-// were attributed to the previous start, so its backoff was lost when the record arrived.
+// Guards against requests to an incarnation that asked for backoff before its record was read. Its answers
+// were attributed to the previous incarnation, so its backoff was lost when the record arrived.
 func TestBackOffAskedBeforeTheRecordIsRead(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		born time.Duration
 		want bool
-	}{{"by the later start", -time.Millisecond, true}, {"by the earlier one", time.Millisecond, false}} {
+	}{{"by the later incarnation", -time.Millisecond, true}, {"by the earlier one", time.Millisecond, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture()
-			f.Update([]Record{startRecord("a", 100, 5)}, nil, true, time.Time{})
+			f.Update([]Record{incarnationRecord("a", 100, 5)}, nil, true, time.Time{})
 			f.BackOff(f.eligible("a")[0], f.at.Add(time.Second))
-			f.Update([]Record{startRecord("a", f.at.Add(tc.born).UnixMilli(), 8)}, nil, false, time.Time{})
+			f.Update([]Record{incarnationRecord("a", f.at.Add(tc.born).UnixMilli(), 8)}, nil, false, time.Time{})
 			u, _ := f.Get(f.eligible("a")[0])
 			if got := u.InBackOff(f.at); got != tc.want {
-				t.Errorf("the later start is in back-off: %v, want %v", got, tc.want)
+				t.Errorf("the later incarnation is in backoff: %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/fleet/failing.go
+++ b/internal/fleet/failing.go
@@ -10,7 +10,7 @@
 	// after which an upstream that gets no more requests is tried again.
 	failureWindow = 5 * time.Second
 	// minFailures is the least number of failures, over all entries, that marks an upstream as
-	// failing. Sound upstreams fail a request now and then, too.
+	// failing. Healthy upstreams fail a request now and then, too.
 	minFailures = 4
 	// failingFactor is by how many times an upstream's failures exceed the average of the others
 	// when it counts as failing. A fault that all upstreams share is not the fault of any one of
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -19,7 +19,7 @@
 	Busy
 	// Broken: the connection could not be established, broke or stayed silent.
 	Broken
-	// Faulty: an engine answered with an error of its own or did not begin in time. Sound engines
+	// Faulty: an engine answered with an error of its own or did not begin in time. Healthy engines
 	// do neither, so this counts whatever the engine's health check reports. A generation that
 	// failed in this way may not be sent again.
 	Faulty
--- a/internal/fleet/reported_leave_test.go
+++ b/internal/fleet/reported_leave_test.go
@@ -21,7 +21,7 @@
 			removeRow(f, f.at.Add(time.Second))
 			f.AnsweredLeaving("a")
 		}},
-		{"in an answer, after its row was gone", func(f *fixture) {
+		{"in an answer, after its row was removed", func(f *fixture) {
 			removeRow(f, time.Time{})
 			f.AnsweredLeaving("a")
 		}},
@@ -31,14 +31,14 @@
 			f.Update([]Record{record("a"), record("b")}, nil, true, time.Time{})
 			tc.report(f)
 			for range 4 {
-				f.at = f.at.Add(goneRetention / 3)
+				f.at = f.at.Add(removedRetention / 3)
 				f.Sweep()
 				f.Update([]Record{record("a"), record("b")}, nil, true, time.Time{})
 				if got := f.state(t); got != Leaving {
 					t.Fatalf("state %d while its earlier row is there, want leaving", got)
 				}
 			}
-			f.at = f.at.Add(2 * goneRetention)
+			f.at = f.at.Add(2 * removedRetention)
 			f.Sweep()
 			f.Update([]Record{record("a")}, nil, false, time.Time{})
 			if got := f.state(t); got != Leaving {
@@ -84,25 +84,25 @@
 	}
 }
 
-// Guards against requests to a start that reported its leave before its record was read. Its
-// answers were attributed to the previous start, so the report was lost when the record arrived.
+// Guards against requests to an incarnation that reported its leave before its record was read. Its
+// answers were attributed to the previous incarnation, so the report was lost when the record arrived.
 func TestLeaveReportedBeforeTheRecordIsRead(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		born time.Duration
 		want bool
-	}{{"by the later start", -time.Millisecond, true}, {"by the earlier one", time.Millisecond, false}} {
+	}{{"by the later incarnation", -time.Millisecond, true}, {"by the earlier one", time.Millisecond, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture()
-			f.Update([]Record{startRecord("a", 100, 5), startRecord("b", 100, 6)}, nil, true, time.Time{})
+			f.Update([]Record{incarnationRecord("a", 100, 5), incarnationRecord("b", 100, 6)}, nil, true, time.Time{})
 			f.AnsweredLeaving(f.eligible("a")[0])
-			f.Update([]Record{startRecord("a", f.at.Add(tc.born).UnixMilli(), 8)}, nil, false, time.Time{})
+			f.Update([]Record{incarnationRecord("a", f.at.Add(tc.born).UnixMilli(), 8)}, nil, false, time.Time{})
 			u, _ := f.Get(f.eligible("a")[0])
 			if got := u.AvoidUntil().After(f.at); got != tc.want {
-				t.Errorf("the later start is avoided until its own record can show the leave: %v, want %v", got, tc.want)
+				t.Errorf("the later incarnation is avoided until its own record can show the leave: %v, want %v", got, tc.want)
 			}
 			if f.at = f.at.Add(leavingRecordDelay); u.AvoidUntil().After(f.at) {
-				t.Error("the later start is avoided for longer than that")
+				t.Error("the later incarnation is avoided for longer than that")
 			}
 		})
 	}
--- a/internal/fleet/restored.go
+++ b/internal/fleet/restored.go
@@ -5,9 +5,9 @@
 // Restore applies the complete table after the store was restored from a backup. Its records may be
 // older than what is known:
 //
-//   - A leave that an upstream reported itself stays final. An upstream whose row was gone stays
-//     gone until its row is written again or a later complete table still has it.
-//   - Of two starts the one that began later is kept, since versions from before the restore
+//   - A leave that an upstream reported itself stays final. An upstream whose row was removed stays
+//     removed until its row is written again or a later complete table still has it.
+//   - Of two incarnations the one that began later is kept, since versions from before the restore
 //     cannot be compared with later ones. The next row that is read overrides this.
 //   - An upstream that is missing has until graceUntil to write its row again.
 func (s *Set) Restore(records []Record, unreadable []string, graceUntil time.Time) {
--- a/internal/fleet/set.go
+++ b/internal/fleet/set.go
@@ -14,7 +14,7 @@
 // Record is the row that an upstream writes about itself in the store. A restarted upstream may
 // reuse its name.
 type Record struct {
-	// ID identifies one start of an upstream. A Set fills it in.
+	// ID identifies one incarnation of an upstream. A Set fills it in.
 	ID string
 	// Name is the upstream's own identifier and the key of its row.
 	Name string
@@ -27,7 +27,7 @@
 	Address string
 	Zone    string
 	Slots   int
-	// Leaving is set by an upstream that wants no new work because it is about to stop.
+	// Leaving is set by an upstream that takes no new work because it is about to stop.
 	Leaving bool
 	// ColdFor is how much longer the upstream runs slowly after its start, counted from the time at
 	// which it wrote the record.
@@ -87,7 +87,7 @@
 // time if it never asked for one.
 func (u Upstream) BackOffUntil() time.Time { return u.backOffUntil }
 
-// InBackOff reports whether the upstream currently wants no requests of this entry.
+// InBackOff reports whether the upstream currently takes no requests of this entry.
 func (u Upstream) InBackOff(now time.Time) bool { return now.Before(u.backOffUntil) }
 
 // Set holds the state of all known upstreams. It is safe for concurrent use.
@@ -97,7 +97,7 @@
 
 	mu   sync.Mutex
 	byID map[string]*member
-	// byName holds the latest start of each upstream, which is in byID as well.
+	// byName holds the latest incarnation of each upstream, which is in byID as well.
 	byName    map[string]*member
 	onLeaving func(id string)
 	// departures holds the times at which upstreams began to leave, by service.
@@ -114,7 +114,7 @@
 	anyBackOffUntil time.Time
 }
 
-// member is the full state of one start of an upstream.
+// member is the full state of one incarnation of an upstream.
 type member struct {
 	Upstream
 	// selfReported is set when the upstream itself reported that it is leaving, which is final. An
@@ -124,7 +124,7 @@
 	// selfReportedAt is when this entry learned of that report.
 	selfReportedAt time.Time
 	// predatesRestore is set when the store was restored from a backup, and cleared when a row of
-	// this start is read. Until then, all that is known about the start is from before the restore.
+	// this incarnation is read. Until then, its state is from before the restore.
 	predatesRestore bool
 	// unreadable is set while the upstream's record exists but cannot be read.
 	unreadable bool
@@ -149,14 +149,14 @@
 }
 
 // Update applies records of upstreams and removals of rows. full marks the records as the complete
-// table: upstreams that it lacks are taken as gone. If graceUntil lies in the future, upstreams
-// that are gone have until then to come back. A record of an unknown start ends the previous start
-// of the upstream; see resolveStart.
-func (s *Set) Update(records []Record, gone []Gone, full bool, graceUntil time.Time) {
-	s.update(records, nil, gone, full, graceUntil)
+// table: upstreams that it lacks count as removed. If graceUntil lies in the future, upstreams
+// whose rows were removed have until then to be listed again. A record of an unknown incarnation ends
+// the previous incarnation of the upstream; see resolveIncarnation.
+func (s *Set) Update(records []Record, removals []Gone, full bool, graceUntil time.Time) {
+	s.update(records, nil, removals, full, graceUntil)
 }
 
-func (s *Set) update(records []Record, unreadable []string, gone []Gone, full bool, graceUntil time.Time) {
+func (s *Set) update(records []Record, unreadable []string, removals []Gone, full bool, graceUntil time.Time) {
 	s.mu.Lock()
 	var departed []string
 	seen := make(map[string]bool, len(records))
@@ -170,11 +170,11 @@
 	if full {
 		for name := range s.byName {
 			if !seen[name] {
-				gone = append(gone, Gone{Name: name})
+				removals = append(removals, Gone{Name: name})
 			}
 		}
 	}
-	for _, g := range gone {
+	for _, g := range removals {
 		if id, departs := s.handleRemoval(g, graceUntil); departs {
 			departed = append(departed, id)
 		}
@@ -185,17 +185,17 @@
 	}
 }
 
-// upsert applies one record. It returns the ID of the record's start and whether that start begins
+// upsert applies one record. It returns the ID of the record's incarnation and whether that incarnation begins
 // to leave.
 func (s *Set) upsert(r Record) (id string, departs bool) {
 	previous := s.byName[r.Name]
-	r, ok := s.resolveStart(r)
+	r, ok := s.resolveIncarnation(r)
 	if !ok {
 		return "", false
 	}
 	m, ok := s.byID[r.ID]
 	if !ok {
-		m = s.addStart(r)
+		m = s.addIncarnation(r)
 		m.inheritBackOff(previous)
 		s.avoidIfPossiblyLeaving(m, previous)
 	}
@@ -205,7 +205,7 @@
 	// A backup may be older than the removal of the row.
 	stale := s.restoring && m.state == Leaving
 	if !stale {
-		// An upstream whose row exists is neither lapsed nor gone.
+		// An upstream whose row exists is neither lapsed nor removed.
 		m.expiresAt = time.Time{}
 	}
 	m.coldUntil = s.now().Add(r.ColdFor)
@@ -256,13 +256,13 @@
 	return m.ID, s.leaveAsMissing(m)
 }
 
-// goneRetention is how long an upstream whose row is gone is kept, so that its streams can be
+// removedRetention is how long an upstream whose row was removed is kept, so that its streams can be
 // moved. The longest notice period seen is a few seconds.
-const goneRetention = 15 * time.Second
+const removedRetention = 15 * time.Second
 
 // leaveAsMissing marks an upstream without a row as leaving and sets how long it is kept.
 func (s *Set) leaveAsMissing(m *member) bool {
-	m.expiresAt = s.now().Add(goneRetention)
+	m.expiresAt = s.now().Add(removedRetention)
 	return s.setLeaving(m, "missing in the store")
 }
 
@@ -311,7 +311,7 @@
 	}
 }
 
-// markLeaving marks an upstream as leaving; selfReported tells that the upstream itself reported
+// markLeaving marks an upstream as leaving; selfReported states that the upstream itself reported
 // it. It returns whether that was unknown.
 func (s *Set) markLeaving(id, source string, selfReported bool) bool {
 	s.mu.Lock()
@@ -322,7 +322,7 @@
 	}
 	if m.state == Lapsed {
 		// The row may be missing for longer than the lapse lasts.
-		m.expiresAt = later(m.expiresAt, s.now().Add(goneRetention))
+		m.expiresAt = later(m.expiresAt, s.now().Add(removedRetention))
 	}
 	departs := s.setLeaving(m, source)
 	isNew := departs
--- a/internal/fleet/set_test.go
+++ b/internal/fleet/set_test.go
@@ -116,7 +116,7 @@
 		want  State
 	}{
 		{"after a lapse", func(f *fixture) { f.Update(nil, []Gone{{Name: "a"}}, false, f.at.Add(time.Second)) }, Serving},
-		{"after it was taken as gone", func(f *fixture) { f.Update(nil, []Gone{{Name: "a"}}, false, time.Time{}) }, Serving},
+		{"after it counted as removed", func(f *fixture) { f.Update(nil, []Gone{{Name: "a"}}, false, time.Time{}) }, Serving},
 		{"after another entry marked it as leaving", func(f *fixture) { f.MarkLeaving("a", "another entry") }, Serving},
 		{"after its own report of a leave", func(f *fixture) { f.ReportedLeaving("a") }, Leaving},
 		{"after its own record of a leave", func(f *fixture) { f.Update([]Record{leavingRecord("a")}, nil, false, time.Time{}) }, Leaving},
@@ -131,7 +131,7 @@
 			if got := f.state(t); got != tc.want {
 				t.Errorf("state %d, want %d", got, tc.want)
 			}
-			f.at = f.at.Add(2 * goneRetention)
+			f.at = f.at.Add(2 * removedRetention)
 			f.Sweep()
 			if got := f.state(t); got != tc.want {
 				t.Errorf("state %d some time later, want %d", got, tc.want)
@@ -140,11 +140,11 @@
 	}
 }
 
-func TestUpstreamGoneIsForgotten(t *testing.T) {
+func TestRemovedUpstreamIsDropped(t *testing.T) {
 	f := newFixture()
 	f.Update([]Record{record("a")}, nil, true, time.Time{})
 	f.Update(nil, []Gone{{Name: "a"}}, false, time.Time{})
-	f.at = f.at.Add(goneRetention - time.Second)
+	f.at = f.at.Add(removedRetention - time.Second)
 	f.Sweep()
 	if got := f.state(t); got != Leaving {
 		t.Errorf("state %d while its streams may still move, want leaving", got)
@@ -152,12 +152,12 @@
 	f.at = f.at.Add(2 * time.Second)
 	f.Sweep()
 	if _, known := f.Get("a"); known {
-		t.Errorf("still known after %s", goneRetention)
+		t.Errorf("still known after %s", removedRetention)
 	}
 }
 
 // Entries pass on only leaves that the upstream reported itself. Otherwise two entries that took an
-// upstream as gone would keep confirming it to each other.
+// upstream as removed would keep confirming it to each other.
 func TestOnlySelfReportedLeavesAreGossiped(t *testing.T) {
 	f := newFixture()
 	f.Update([]Record{record("missing"), record("told"), record("reported"), record("recorded")}, nil, true, time.Time{})
--- a/internal/fleet/starts.go
+++ b/internal/fleet/starts.go
@@ -8,38 +8,38 @@
 	"github.com/sparshore/sparshore/internal/events"
 )
 
-// startID returns the identifier of one start of an upstream: the name, followed by the start time
-// if that is known. All state is kept by this identifier, so that nothing about an earlier start
+// incarnationID returns the identifier of one incarnation of an upstream: the name, followed by the start time
+// if that is known. All state is kept by this identifier, so that nothing about an earlier incarnation
 // counts for a later one, however late it arrives and from whichever source. Each message to other
 // entries contains it, so the time is written in base 36 to keep it short. If the start time is
-// unknown and the name contains the separator, another separator is appended, so that no two starts
+// unknown and the name contains the separator, another separator is appended, so that no two incarnations
 // share an identifier.
-func startID(name string, born int64) string {
+func incarnationID(name string, born int64) string {
 	switch {
 	case born != 0:
-		return name + startSeparator + strconv.FormatInt(born, 36)
-	case strings.Contains(name, startSeparator):
-		return name + startSeparator
+		return name + incarnationSeparator + strconv.FormatInt(born, 36)
+	case strings.Contains(name, incarnationSeparator):
+		return name + incarnationSeparator
 	default:
 		return name
 	}
 }
 
-const startSeparator = "@"
+const incarnationSeparator = "@"
 
-// resolveStart fills in the ID of a record and ends the previous start of the upstream. It returns
-// false for a record of a start that has ended. The caller must hold s.mu.
+// resolveIncarnation fills in the ID of a record and ends the previous incarnation of the upstream. It returns
+// false for a record of an incarnation that has ended. The caller must hold s.mu.
 //
-// The store's versions tell which of two rows is newer. Start times only tell starts apart: if they
-// decided, a later start would never get work after the clock of its upstream jumped back. They
+// The store's versions tell which of two rows is newer. Start times only tell incarnations apart: if they
+// decided, a later incarnation would never get work after the clock of its upstream jumped back. They
 // decide only if a version is unknown. A row without a start time is taken as one of the known
-// start.
-func (s *Set) resolveStart(r Record) (Record, bool) {
+// incarnation.
+func (s *Set) resolveIncarnation(r Record) (Record, bool) {
 	m, known := s.byName[r.Name]
 	if known && r.Born == 0 {
 		r.Born = m.Born
 	}
-	r.ID = startID(r.Name, r.Born)
+	r.ID = incarnationID(r.Name, r.Born)
 	if !known || r.ID == m.ID {
 		return r, true
 	}
@@ -49,11 +49,11 @@
 		s.rec.Note(events.UpstreamOldNews, "", "upstream", m.ID, "news", "record of "+r.ID, "version", r.Version, "known-version", m.Version)
 		return Record{}, false
 	}
-	s.endStart(m, r)
+	s.endIncarnation(m, r)
 	return r, true
 }
 
-// isOlder reports whether r is older than a record of another start.
+// isOlder reports whether r is older than a record of another incarnation.
 func isOlder(r, other Record) bool {
 	if r.Version == 0 || other.Version == 0 || r.Version == other.Version {
 		return r.Born < other.Born
@@ -61,8 +61,8 @@
 	return r.Version < other.Version
 }
 
-// addStart adds a new start of an upstream. The caller must hold s.mu.
-func (s *Set) addStart(r Record) *member {
+// addIncarnation adds a new incarnation of an upstream. The caller must hold s.mu.
+func (s *Set) addIncarnation(r Record) *member {
 	m := &member{Upstream: Upstream{Record: r}}
 	s.byID[r.ID], s.byName[r.Name] = m, m
 	s.serving = nil
@@ -74,16 +74,16 @@
 	// leavingRecordDelay is the time within which an upstream's record shows that it is leaving:
 	// two heartbeats.
 	leavingRecordDelay = 3 * time.Second
-	// maxRecordLag bounds how long after a start its record is read. A store outage delays the
-	// reading.
+	// maxRecordLag bounds how long after the start of an incarnation its record is read. A store
+	// outage delays the reading.
 	maxRecordLag = time.Minute
 )
 
-// avoidIfPossiblyLeaving avoids a new start until its own record can show that it is leaving, if
-// the previous start, which may be nil, reported a leave since the new one began. Until the record
-// of a new start is read, its answers are attributed to the previous start. The new start is not
-// marked as leaving: the clocks of upstreams jump, and the mark would be final. The caller must
-// hold s.mu.
+// avoidIfPossiblyLeaving avoids a new incarnation until its own record can show that it is leaving, if
+// the previous incarnation, which may be nil, reported a leave since the new one began. Until the record
+// of a new incarnation is read, its answers are attributed to the previous incarnation. The new
+// incarnation is not marked as leaving: the clocks of upstreams jump, and the mark would be final.
+// The caller must hold s.mu.
 func (s *Set) avoidIfPossiblyLeaving(m, previous *member) {
 	if previous == nil || previous.ID == m.ID || !previous.selfReported {
 		return
@@ -94,15 +94,15 @@
 	}
 }
 
-// endStart removes a start that a later one replaced, as after a crash. Its process is gone with
-// all its state, so it gets no time to come back and no streams are moved away from it: their
-// connections break. The caller must hold s.mu.
-func (s *Set) endStart(m *member, by Record) {
+// endIncarnation removes an incarnation that a later one replaced, as after a crash. Its process no
+// longer exists and all its state is lost, so it gets no time to come back and no streams are moved
+// away from it: their connections break. The caller must hold s.mu.
+func (s *Set) endIncarnation(m *member, by Record) {
 	s.remove(m)
 	s.rec.Note(events.UpstreamRestarted, "", "upstream", m.ID, "by", by.ID, "version", by.Version, "known-version", m.Version)
 }
 
-// remove deletes all state of a start. The caller must hold s.mu.
+// remove deletes all state of an incarnation. The caller must hold s.mu.
 func (s *Set) remove(m *member) {
 	delete(s.byID, m.ID)
 	delete(s.byName, m.Name)
--- a/internal/fleet/unreadable.go
+++ b/internal/fleet/unreadable.go
@@ -9,8 +9,8 @@
 // UpdateAll is like Update, for an answer in which the records of some upstreams exist but cannot
 // be read. These upstreams are not missing, and their running work continues. They get no new work
 // and no moved streams until a record can be read again.
-func (s *Set) UpdateAll(records []Record, unreadable []string, gone []Gone, full bool, graceUntil time.Time) {
-	s.update(records, unreadable, gone, full, graceUntil)
+func (s *Set) UpdateAll(records []Record, unreadable []string, removals []Gone, full bool, graceUntil time.Time) {
+	s.update(records, unreadable, removals, full, graceUntil)
 }
 
 // hold stops new work for upstreams whose records cannot be read, and marks them as seen. Unknown
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -140,14 +140,14 @@
 
 starts=internal/fleet/starts.go
 mutant start-own-id $starts 's/case born != 0:/case false:/' internal/fleet TestRestartUnderTheSameName
-mutant start-id-unique $starts 's/return name \+ startSeparator\n/return name\n/' internal/fleet TestStartIdentifiers
-mutant start-ended $starts 's/\ts\.remove\(m\)\n\ts\.rec/\ts.rec/' internal/fleet 'TestLateInformationAboutAnEarlierStart|TestRestartUnderTheSameName'
-mutant start-old-news $starts 's/if !overrides && isOlder\(r, m\.Record\) \{/if !overrides \&\& false {/' internal/fleet TestLateInformationAboutAnEarlierStart
-mutant start-version-first $starts 's/r\.Version == 0 \|\| other\.Version == 0 \|\| r\.Version == other\.Version/true/' internal/fleet TestLateInformationAboutAnEarlierStart
-mutant start-birth-unversioned $starts 's/return r\.Born < other\.Born/return false/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-id-unique $starts 's/return name \+ incarnationSeparator\n/return name\n/' internal/fleet TestIncarnationIdentifiers
+mutant start-ended $starts 's/\ts\.remove\(m\)\n\ts\.rec/\ts.rec/' internal/fleet 'TestLateInformationAboutAnEarlierIncarnation|TestRestartUnderTheSameName'
+mutant start-old-news $starts 's/if !overrides && isOlder\(r, m\.Record\) \{/if !overrides \&\& false {/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
+mutant start-version-first $starts 's/r\.Version == 0 \|\| other\.Version == 0 \|\| r\.Version == other\.Version/true/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
+mutant start-birth-unversioned $starts 's/return r\.Born < other\.Born/return false/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
 mutant start-no-birth $starts 's/known && r\.Born == 0/false/' internal/fleet TestRecordWithoutAStartTime
-mutant start-old-removal internal/fleet/set.go 's/g\.Version != 0 && g\.Version < m\.Version/false/' internal/fleet TestLateInformationAboutAnEarlierStart
-mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[startID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.byName[name].ID] {/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-old-removal internal/fleet/set.go 's/g\.Version != 0 && g\.Version < m\.Version/false/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
+mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[incarnationID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.byName[name].ID] {/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
 mutant start-version-kept internal/daemon/upstreamrows.go 's/\t\tr\.Version = row\.Version\n//' internal/daemon TestUpstreamChangesKeep
 mutant start-removal-version internal/daemon/upstreamrows.go 's/, Version: row\.Version\}\)/})/' internal/daemon TestUpstreamChangesKeep
 mutant start-report $gateway/inquire.go 's/ && state\.Born != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
