--- a/internal/limits/grant.go
+++ b/internal/limits/grant.go
@@ -104,25 +104,25 @@
 	}
 }
 
-// granterOf returns the entry that grants permits for a start. It creates the bucket when this
+// granterOf returns the entry that grants permits for an incarnation. It creates the bucket when this
 // entry becomes the granter, and drops it when another one does. The caller must hold s.mu.
-func (s *Set) granterOf(start string, l *limit) string {
-	granter, highest := s.name, rendezvousHash(start, s.name)
+func (s *Set) granterOf(incarnation string, l *limit) string {
+	granter, highest := s.name, rendezvousHash(incarnation, s.name)
 	for i, name := range s.granterCandidates() {
-		h := rendezvousHash(start, name)
+		h := rendezvousHash(incarnation, name)
 		if s.stopping && i == 0 || h > highest || h == highest && name > granter {
 			granter, highest = name, h
 		}
 	}
 	if granter != l.granter {
-		s.rec.Note(events.LimitGranter, "", "upstream", start, "granter", granter, "before", l.granter)
+		s.rec.Note(events.LimitGranter, "", "upstream", incarnation, "granter", granter, "before", l.granter)
 		l.granter = granter
 	}
 	switch {
 	case granter != s.name:
 		l.bucket = nil
 	case l.bucket == nil:
-		// The previous granter goes on until it learns that this entry knows of the limit. The
+		// The previous granter goes on until it learns that this entry has the limit too. The
 		// permits that it grants count as well, so the bucket starts empty.
 		l.grantsFrom = s.now().Add(s.others.Told())
 		perSecond, burst := s.grantRate(l)
@@ -132,10 +132,10 @@
 	return granter
 }
 
-// rendezvousHash ranks an entry among those that may grant permits for a start.
-func rendezvousHash(start, entry string) uint64 {
+// rendezvousHash ranks an entry among those that may grant permits for an incarnation.
+func rendezvousHash(incarnation, entry string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(start))
+	_, _ = h.Write([]byte(incarnation))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(entry))
 	// The last bytes of the input hardly change the high bits of its FNV hash.
@@ -173,7 +173,7 @@
 	return perSecond, 1 + int(math.Ceil(float64(perSecond)*burstWindow.Seconds()))
 }
 
-// share returns the share of a limit that the entries which hear each other may use. Each side of a
+// share returns the share of a limit that the entries which reach each other may use. Each side of a
 // network partition has a granter of its own. Only the side with the majority of the entries has
 // the whole limit; any other side has the fraction of all entries that it holds. The caller must
 // hold s.mu.
@@ -181,9 +181,9 @@
 	if s.entryCount == 0 {
 		return 0
 	}
-	heard := len(s.others.Heard()) + 1
-	if 2*heard > s.entryCount {
+	live := len(s.others.Heard()) + 1
+	if 2*live > s.entryCount {
 		return 1
 	}
-	return float64(heard) / float64(s.entryCount)
+	return float64(live) / float64(s.entryCount)
 }
--- a/internal/limits/grant_test.go
+++ b/internal/limits/grant_test.go
@@ -18,14 +18,14 @@
 	messages []Message
 }
 
-// newWithPeers returns the Set of an entry that hears others, all of which support limits.
+// newWithPeers returns the Set of an entry that receives gossip from others, all of which support limits.
 func newWithPeers(c *clock, name string, p *outbox, others ...string) *Set {
-	var heard []Entry
+	var live []Entry
 	for _, other := range others {
-		heard = append(heard, Entry{Name: other, Life: "1"})
+		live = append(live, Entry{Name: other, Life: "1"})
 	}
 	s := New(name, "1", Others{
-		Heard: func() []Entry { return heard },
+		Heard: func() []Entry { return live },
 		Send: func(to string, m Message) {
 			p.to, p.messages = append(p.to, to), append(p.messages, m)
 		},
@@ -38,17 +38,17 @@
 	return s
 }
 
-// startGrantedBy returns a start whose granter is the given entry.
-func startGrantedBy(s *Set, entry string) string {
+// incarnationGrantedBy returns an incarnation whose granter is the given entry.
+func incarnationGrantedBy(s *Set, entry string) string {
 	for i := 0; ; i++ {
-		start := fmt.Sprint("u", i)
-		if s.granterOf(start, &limit{}) == entry {
-			return start
+		incarnation := fmt.Sprint("u", i)
+		if s.granterOf(incarnation, &limit{}) == entry {
+			return incarnation
 		}
 	}
 }
 
-// takeAll takes all available permits for the start u and returns their number.
+// takeAll takes all available permits for the incarnation u and returns their number.
 func takeAll(t *testing.T, s *Set) int {
 	t.Helper()
 	for n := 0; ; n++ {
@@ -59,7 +59,7 @@
 }
 
 // Guards against too many permits when a new granter begins: it waits until the previous granter
-// knows of it, and its bucket starts empty. Otherwise both grant permits at once.
+// learned of it, and its bucket starts empty. Otherwise both grant permits at once.
 func TestNewGranterWaitsAndStartsEmpty(t *testing.T) {
 	c := &clock{at: time.Now()}
 	s := newWithPeers(c, "a", &outbox{})
@@ -115,10 +115,10 @@
 	c := &clock{at: time.Now()}
 	p := &outbox{}
 	s := newWithPeers(c, "a", p, "b", "c")
-	own, other := startGrantedBy(s, "a"), startGrantedBy(s, "b")
-	ask := func(id uint64, start string) Answer {
+	own, other := incarnationGrantedBy(s, "a"), incarnationGrantedBy(s, "b")
+	ask := func(id uint64, incarnation string) Answer {
 		t.Helper()
-		w := encodeObservation(Observation{Start: start, Rate: 1, AdvertisedAt: c.at}, c.at)
+		w := encodeObservation(Observation{Start: incarnation, Rate: 1, AdvertisedAt: c.at}, c.at)
 		s.Hear("c", Message{Question: &Question{ID: id, Word: w}}, c.at)
 		return *p.messages[len(p.messages)-1].Answer
 	}
@@ -153,16 +153,16 @@
 	c := &clock{at: time.Now()}
 	p := &outbox{}
 	s := newWithPeers(c, "a", p, "b")
-	start := startGrantedBy(s, "b")
-	s.Named(start, 1)
-	if err := s.Take(t.Context(), start); err == nil || len(p.messages) != 2 {
+	incarnation := incarnationGrantedBy(s, "b")
+	s.Named(incarnation, 1)
+	if err := s.Take(t.Context(), incarnation); err == nil || len(p.messages) != 2 {
 		t.Errorf("%v after %d questions, want an error after two", err, len(p.messages))
 	}
-	if err := s.Take(t.Context(), start); err == nil || len(p.messages) != 2 {
+	if err := s.Take(t.Context(), incarnation); err == nil || len(p.messages) != 2 {
 		t.Errorf("%v after %d questions, want an error without another question", err, len(p.messages))
 	}
 	c.advance(noAnswerPause)
-	if at := s.OpensAt(start); at.After(c.at) {
+	if at := s.OpensAt(incarnation); at.After(c.at) {
 		t.Errorf("the next question may go in %s, want now", at.Sub(c.at))
 	}
 }
@@ -171,14 +171,14 @@
 func TestStoppingGranterHandsOver(t *testing.T) {
 	c := &clock{at: time.Now()}
 	s := newWithPeers(c, "a", &outbox{}, "b")
-	start := startGrantedBy(s, "a")
+	incarnation := incarnationGrantedBy(s, "a")
 	s.Leave()
-	if got := s.granterOf(start, &limit{}); got != "b" {
+	if got := s.granterOf(incarnation, &limit{}); got != "b" {
 		t.Errorf("%s grants, want b", got)
 	}
 	alone := newWithPeers(c, "a", &outbox{})
 	alone.Leave()
-	if got := alone.granterOf(start, &limit{}); got != "a" {
+	if got := alone.granterOf(incarnation, &limit{}); got != "a" {
 		t.Errorf("%s grants, want a: there is no other entry", got)
 	}
 }
@@ -191,13 +191,13 @@
 		others = append(others, fmt.Sprint("entry-", i))
 	}
 	s, counts := newWithPeers(c, "entry-29", &outbox{}, others...), map[string]int{}
-	const starts = 3000
-	for i := range starts {
+	const incarnations = 3000
+	for i := range incarnations {
 		counts[s.granterOf(fmt.Sprint("i-", i), &limit{})]++
 	}
 	for name, n := range counts {
-		if n < starts/30/2 || n > starts/30*2 {
-			t.Errorf("%s grants for %d of %d starts, want about %d", name, n, starts, starts/30)
+		if n < incarnations/30/2 || n > incarnations/30*2 {
+			t.Errorf("%s grants for %d of %d incarnations, want about %d", name, n, incarnations, incarnations/30)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 		{"no limit, sent at an unknown time", wireObservation{Start: "u", Rate: 1, NamedAgeUS: neverAge, OverAgeUS: 1000}, time.Time{}, -1, -1},
 		{"ages and rate out of bounds", wireObservation{Start: "u", Rate: 1e300, NamedAgeUS: math.MaxInt64, OverAgeUS: math.MaxInt64}, now, maxAge, maxAge},
 		{"negative rate", wireObservation{Start: "u", Rate: -1, NamedAgeUS: 1000}, now, -1, -1},
-		{"no start", wireObservation{Rate: 1, NamedAgeUS: 1000}, now, -1, -1},
+		{"no incarnation", wireObservation{Rate: 1, NamedAgeUS: 1000}, now, -1, -1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := tc.encoded.decode(tc.sent, now)
@@ -245,7 +245,7 @@
 	}{
 		{"it sent messages about limits", Entry{Name: "b", Life: "1"}, "1", true},
 		{"it is of an earlier release", Entry{Name: "b", Life: "1"}, "", false},
-		{"its earlier start sent messages about limits", Entry{Name: "b", Life: "2"}, "1", false},
+		{"its earlier incarnation sent messages about limits", Entry{Name: "b", Life: "2"}, "1", false},
 		{"it is stopping", Entry{Name: "b", Life: "1", Stops: true}, "1", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -272,7 +272,7 @@
 		s.Hear(fmt.Sprint("entry-", i), Message{Life: "1"}, c.at)
 	}
 	if len(s.peers) > maxPeers || s.peers["b"] == nil {
-		t.Errorf("%d entries are kept, want at most %d with the one that is heard", len(s.peers), maxPeers)
+		t.Errorf("%d entries are kept, want at most %d with the live one", len(s.peers), maxPeers)
 	}
 }
 
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -3,11 +3,11 @@
 // permit from the Set of its entry. Together, the permits keep to the limit, apart from short bursts
 // and the time in which the entries do not agree on who grants permits.
 //
-// For each start of an upstream, one entry grants the permits from a token bucket: the granter,
-// which has the highest rendezvous hash among the entries that hear each other. Fixed shares for
-// each entry do not work if hundreds of entries share a few requests a second: a share is too small
-// to use, or the total is too large if each entry may send a request at any moment. No messages are
-// sent while no upstream advertises a limit.
+// For each incarnation of an upstream, one entry grants the permits from a token bucket: the granter,
+// which has the highest rendezvous hash among the entries that receive messages from each other.
+// Fixed shares for each entry do not work if hundreds of entries share a few requests a second: a
+// share is too small to use, or the total is too large if each entry may send a request at any
+// moment. No messages are sent while no upstream advertises a limit.
 package limits
 
 import (
@@ -26,7 +26,7 @@
 // Others connects a Set to the other entries of the deployment. The functions are called with the
 // Set locked and must not call it.
 type Others struct {
-	// Heard returns the entries that are heard or fell silent only recently.
+	// Heard returns the entries that send gossip or did so until recently.
 	Heard func() []Entry
 	// Send sends a message to an entry. The message may be lost.
 	Send func(to string, m Message)
@@ -38,15 +38,15 @@
 	Way func() time.Duration
 }
 
-// Set holds the limits in force, by upstream start, and grants permits or asks the granter for
+// Set holds the limits in force, by upstream incarnation, and grants permits or asks the granter for
 // them. It is safe for concurrent use.
 type Set struct {
-	// name is the name of this entry, and life identifies its current start.
-	name   string
-	life   string
-	others Others
-	rec    *events.Recorder
-	now    func() time.Time
+	// name is the name of this entry, and ownIncarnation identifies its current incarnation.
+	name           string
+	ownIncarnation string
+	others         Others
+	rec            *events.Recorder
+	now            func() time.Time
 	// inForceCount is the number of limits in force. While it is 0, permits need no lock.
 	inForceCount atomic.Int64
 
@@ -69,10 +69,10 @@
 	answerCache map[questionKey]cachedAnswer
 }
 
-// maxLimits bounds the upstream starts whose limits are kept.
+// maxLimits bounds the upstream incarnations whose limits are kept.
 const maxLimits = 4096
 
-// limit is what is known about the limit of one upstream start.
+// limit is what is known about the limit of one upstream incarnation.
 type limit struct {
 	// rate is the limit in requests a second.
 	rate float64
@@ -104,11 +104,11 @@
 // inForce reports whether the upstream is last known to have a limit.
 func (l *limit) inForce() bool { return !l.advertisedAt.IsZero() && !l.noLimitAt.After(l.advertisedAt) }
 
-// New returns a Set without limits for one start of an entry, which life identifies.
-func New(name, life string, others Others, rec *events.Recorder, now func() time.Time) *Set {
+// New returns a Set without limits for one incarnation of an entry, which ownIncarnation identifies.
+func New(name, ownIncarnation string, others Others, rec *events.Recorder, now func() time.Time) *Set {
 	return &Set{
-		name: name, life: life, peers: map[string]*peer{}, others: others, rec: rec, now: now, limits: map[string]*limit{},
-		// A question of an earlier start of this entry must not be taken for one of this start.
+		name: name, ownIncarnation: ownIncarnation, peers: map[string]*peer{}, others: others, rec: rec, now: now, limits: map[string]*limit{},
+		// A question of an earlier incarnation of this entry must not be taken for one of this incarnation.
 		lastQuestionID: rand.Uint64(), pending: map[uint64]chan Answer{}, answerCache: map[questionKey]cachedAnswer{},
 	}
 }
@@ -133,22 +133,22 @@
 // NoLimit is the rate of an upstream without a limit.
 const NoLimit = -1.0
 
-// Rate returns the limit of an upstream start in requests a second, or NoLimit.
-func (s *Set) Rate(start string) float64 {
+// Rate returns the limit of an upstream incarnation in requests a second, or NoLimit.
+func (s *Set) Rate(incarnation string) float64 {
 	if !s.Any() {
 		return NoLimit
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.limitInForce(start); l != nil {
+	if l := s.limitInForce(incarnation); l != nil {
 		return l.rate
 	}
 	return NoLimit
 }
 
-// limitInForce returns the limit of a start, or nil if none is in force. The caller must hold s.mu.
-func (s *Set) limitInForce(start string) *limit {
-	if l, ok := s.limits[start]; ok && l.inForce() {
+// limitInForce returns the limit of an incarnation, or nil if none is in force. The caller must hold s.mu.
+func (s *Set) limitInForce(incarnation string) *limit {
+	if l, ok := s.limits[incarnation]; ok && l.inForce() {
 		return l
 	}
 	return nil
@@ -156,7 +156,7 @@
 
 // State describes a limit in force.
 type State struct {
-	// Upstream is the start of the upstream, and Rate its limit in requests a second.
+	// Upstream is the incarnation of the upstream, and Rate its limit in requests a second.
 	Upstream string
 	Rate     float64
 	// Since is when this entry learned of the limit, and Named when the upstream is last known to
@@ -173,21 +173,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []State
-	for start, l := range s.limits {
+	for incarnation, l := range s.limits {
 		if l.inForce() {
-			out = append(out, State{Upstream: start, Rate: l.rate, Since: l.since, Named: l.advertisedAt, Granter: l.granter})
+			out = append(out, State{Upstream: incarnation, Rate: l.rate, Since: l.since, Named: l.advertisedAt, Granter: l.granter})
 		}
 	}
 	slices.SortFunc(out, func(a, b State) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return out
 }
 
-// Named records that an answer of an upstream start advertised a limit in requests a second.
-func (s *Set) Named(start string, perSecond float64) {
+// Named records that an answer of an upstream incarnation advertised a limit in requests a second.
+func (s *Set) Named(incarnation string, perSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if l := s.noteAdvertised(start, perSecond, now, ownAnswer); l != nil {
+	if l := s.noteAdvertised(incarnation, perSecond, now, ownAnswer); l != nil {
 		l.observed.Rate, l.observed.AdvertisedAt = perSecond, now
 	}
 }
@@ -195,29 +195,29 @@
 // ownAnswer is the logged source of limits that this entry read in an answer itself.
 const ownAnswer = "own answer"
 
-// Unnamed records that a complete answer of an upstream start advertised no limit; sent is when its
+// Unnamed records that a complete answer of an upstream incarnation advertised no limit; sent is when its
 // request was sent.
-func (s *Set) Unnamed(start string, sent time.Time) {
+func (s *Set) Unnamed(incarnation string, sent time.Time) {
 	if !s.Any() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.noteNoLimit(start, sent, ownAnswer); l != nil {
+	if l := s.noteNoLimit(incarnation, sent, ownAnswer); l != nil {
 		l.observed.NoLimitAt = sent
 	}
 }
 
 // noteAdvertised records that a limit was advertised at the given time. It returns nil if a later
 // time is known or there is no room for the limit. The caller must hold s.mu.
-func (s *Set) noteAdvertised(start string, perSecond float64, at time.Time, source string) *limit {
-	l, ok := s.limits[start]
+func (s *Set) noteAdvertised(incarnation string, perSecond float64, at time.Time, source string) *limit {
+	l, ok := s.limits[incarnation]
 	if !ok {
 		if !s.hasRoom() {
 			return nil
 		}
 		l = &limit{}
-		s.limits[start] = l
+		s.limits[incarnation] = l
 	}
 	if !at.After(l.advertisedAt) {
 		return nil
@@ -232,7 +232,7 @@
 		s.inForceCount.Add(1)
 		previous = NoLimit
 	}
-	s.rec.Note(events.LimitNamed, "", "upstream", start, "rate", perSecond, "before", previous, "age", s.now().Sub(at), "source", source)
+	s.rec.Note(events.LimitNamed, "", "upstream", incarnation, "rate", perSecond, "before", previous, "age", s.now().Sub(at), "source", source)
 	s.announce()
 	return l
 }
@@ -247,10 +247,10 @@
 	return !full
 }
 
-// noteNoLimit records that a start had no limit at the given time. It returns nil if a later time
+// noteNoLimit records that an incarnation had no limit at the given time. It returns nil if a later time
 // is known. The caller must hold s.mu.
-func (s *Set) noteNoLimit(start string, at time.Time, source string) *limit {
-	l, ok := s.limits[start]
+func (s *Set) noteNoLimit(incarnation string, at time.Time, source string) *limit {
+	l, ok := s.limits[incarnation]
 	if !ok || !at.After(l.noLimitAt) {
 		return nil
 	}
@@ -258,31 +258,31 @@
 	l.noLimitAt = at
 	if wasInForce && !l.inForce() {
 		s.inForceCount.Add(-1)
-		s.rec.Note(events.LimitOver, "", "upstream", start, "rate", l.rate, "lasted", s.now().Sub(l.since), "source", source)
+		s.rec.Note(events.LimitOver, "", "upstream", incarnation, "rate", l.rate, "lasted", s.now().Sub(l.since), "source", source)
 		s.announce()
 	}
 	return l
 }
 
-// Sweep drops the limits of starts that no longer exist, and old answers.
-func (s *Set) Sweep(exists func(start string) bool) {
+// Sweep drops the limits of incarnations that no longer exist, and old answers.
+func (s *Set) Sweep(exists func(incarnation string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for start, l := range s.limits {
-		// Other entries may report a start whose row has not been read here yet.
-		if exists(start) || now.Sub(l.since) < rowReadWithin && now.Sub(l.advertisedAt) < rowReadWithin {
+	for incarnation, l := range s.limits {
+		// Other entries may report an incarnation whose row has not been read here yet.
+		if exists(incarnation) || now.Sub(l.since) < rowReadWithin && now.Sub(l.advertisedAt) < rowReadWithin {
 			continue
 		}
 		if l.inForce() {
 			s.inForceCount.Add(-1)
 		}
-		delete(s.limits, start)
+		delete(s.limits, incarnation)
 	}
 	s.evictAnswers()
 }
 
-// rowReadWithin is the time within which the row of a start is read, even while the store is slow.
+// rowReadWithin is the time within which the row of an incarnation is read, even while the store is slow.
 const rowReadWithin = 10 * time.Second
 
 // Alone returns the Others of a process that is the only sender of requests to its upstreams.
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -67,21 +67,21 @@
 	}
 }
 
-// The limit of an upstream start is dropped when the start no longer exists; a later start has
-// none.
-func TestLimitsOfRemovedStartsAreDropped(t *testing.T) {
+// The limit of an upstream incarnation is dropped when the incarnation no longer exists; a later
+// incarnation has none.
+func TestLimitsOfRemovedIncarnationsAreDropped(t *testing.T) {
 	c := &clock{at: time.Now()}
 	s := newSingleEntry(c.now)
 	s.Named("u", 3)
 	s.Named("v", 3)
 	c.advance(rowReadWithin)
-	s.Sweep(func(start string) bool { return start == "v" })
+	s.Sweep(func(incarnation string) bool { return incarnation == "v" })
 	if !s.Any() || len(s.limits) != 1 {
-		t.Fatalf("%d limits are kept, want that of the remaining start", len(s.limits))
+		t.Fatalf("%d limits are kept, want that of the remaining incarnation", len(s.limits))
 	}
 	s.Sweep(func(string) bool { return false })
 	if s.Any() || len(s.limits) != 0 {
-		t.Errorf("%d limits are kept of removed starts", len(s.limits))
+		t.Errorf("%d limits are kept of removed incarnations", len(s.limits))
 	}
 }
 
--- a/internal/limits/message.go
+++ b/internal/limits/message.go
@@ -8,11 +8,11 @@
 // Message is what entries send each other, as CBOR. Times are encoded as ages.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
-	// Life identifies the current start of the sender. Knows is the start of the receiver that the
-	// sender knows to support limits; empty for none.
+	// Life identifies the current incarnation of the sender. Knows is that of the receiver which the
+	// sender has found to support limits; empty for none.
 	Life  string
 	Knows string
-	// Asks is set until the receiver has confirmed that it knows the same about the sender.
+	// Asks is set until the receiver has confirmed that the sender supports limits.
 	Asks bool
 	// Words are the observations that the sender made itself.
 	Words    []wireObservation
@@ -52,8 +52,8 @@
 	return time.Duration(min(max(a.WaitUS, 0), maxWait.Microseconds())) * time.Microsecond
 }
 
-// Question asks for a permit to send one request to an upstream start. Word is what the asking
-// entry knows about the limit, so that the granter knows at least as much.
+// Question asks for a permit to send one request to an upstream incarnation. Word is what the asking
+// entry has read about the limit, so that the granter has at least the same information.
 type Question struct {
 	_    struct{} `cbor:",toarray"`
 	ID   uint64
--- a/internal/limits/peers.go
+++ b/internal/limits/peers.go
@@ -5,7 +5,7 @@
 // Entry is another entry of the deployment.
 type Entry struct {
 	Name string
-	// Life identifies its current start.
+	// Life identifies its current incarnation.
 	Life string
 	// Stops is set when it is about to stop.
 	Stops bool
@@ -13,16 +13,16 @@
 
 // peer is what another entry reported about itself in messages about limits.
 type peer struct {
-	// life is the start in which the peer sent messages about limits and thus supports them.
+	// incarnation is the one in which the peer sent messages about limits and thus supports them.
 	// Entries of earlier releases send none.
-	life string
-	// acknowledged is set if the peer knows that this start of this entry supports limits.
+	incarnation string
+	// acknowledged is set if the peer has confirmed that this incarnation of this entry supports limits.
 	acknowledged bool
-	// wantsAck is set until the peer has heard that this entry knows the same about it.
+	// wantsAck is set until this entry has confirmed to the peer that the peer supports limits.
 	wantsAck bool
 }
 
-// updatePeer records what a message tells about its sender. The caller must hold s.mu.
+// updatePeer records what a message states about its sender. The caller must hold s.mu.
 func (s *Set) updatePeer(from string, m Message) {
 	if m.Life == "" {
 		return
@@ -30,23 +30,23 @@
 	if _, known := s.peers[from]; !known && len(s.peers) >= maxPeers {
 		s.dropSilentPeers()
 	}
-	s.peers[from] = &peer{life: m.Life, acknowledged: m.Knows == s.life, wantsAck: m.Asks}
+	s.peers[from] = &peer{incarnation: m.Life, acknowledged: m.Knows == s.ownIncarnation, wantsAck: m.Asks}
 }
 
 // maxPeers bounds the entries that are kept: ten times as many as a deployment has.
 const maxPeers = 4096
 
-// dropSilentPeers drops the entries that are not heard. They are asked again once they are heard.
+// dropSilentPeers drops the entries that send no gossip. They are asked again once they do.
 // The caller must hold s.mu.
 func (s *Set) dropSilentPeers() {
-	heard := map[string]bool{}
+	live := map[string]bool{}
 	for _, e := range s.others.Heard() {
-		heard[e.Name] = true
+		live[e.Name] = true
 	}
-	maps.DeleteFunc(s.peers, func(name string, _ *peer) bool { return !heard[name] })
+	maps.DeleteFunc(s.peers, func(name string, _ *peer) bool { return !live[name] })
 }
 
-// granterCandidates returns the names of the other entries that are heard, are not stopping and
+// granterCandidates returns the names of the other entries that send gossip, are not stopping and
 // support limits. The caller must hold s.mu.
 func (s *Set) granterCandidates() []string {
 	var out []string
@@ -58,20 +58,20 @@
 	return out
 }
 
-// supportsLimits reports whether the current start of an entry is known to support limits. The
+// supportsLimits reports whether the current incarnation of an entry is known to support limits. The
 // caller must hold s.mu.
 func (s *Set) supportsLimits(e Entry) bool {
 	p, known := s.peers[e.Name]
-	return known && p.life == e.Life
+	return known && p.incarnation == e.Life
 }
 
 // withHandshake fills in the fields of a message by which two entries confirm to each other that
 // they support limits. The caller must hold s.mu.
 func (s *Set) withHandshake(to string, m Message) Message {
-	m.Life = s.life
+	m.Life = s.ownIncarnation
 	p, known := s.peers[to]
 	if known {
-		m.Knows, p.wantsAck = p.life, false
+		m.Knows, p.wantsAck = p.incarnation, false
 	}
 	m.Asks = !known || !p.acknowledged
 	return m
@@ -79,7 +79,7 @@
 
 // Round returns the messages of one regular round, by name of the receiver. After a change they go
 // to all entries. Later they go only to entries whose support of limits is not yet mutually
-// confirmed: to agree on the granter, all entries have to know the same candidates. Round returns
+// confirmed: to agree on the granter, all entries must have the same candidates. Round returns
 // nil without calling others while no limit is in force and none was recently.
 func (s *Set) Round(others func() []Entry) map[string]Message {
 	s.mu.Lock()
@@ -92,7 +92,7 @@
 	observations := s.observations()
 	for _, e := range others() {
 		p, known := s.peers[e.Name]
-		if known && p.life != e.Life {
+		if known && p.incarnation != e.Life {
 			delete(s.peers, e.Name)
 			known = false
 		}
--- a/internal/limits/permit.go
+++ b/internal/limits/permit.go
@@ -31,15 +31,15 @@
 	deniedLogInterval = time.Second
 )
 
-// Take takes a permit to send one request to an upstream start now. Without a limit it always
+// Take takes a permit to send one request to an upstream incarnation now. Without a limit it always
 // succeeds. Otherwise the error may be ErrReached, ErrNoAnswer or that of ctx; OpensAt then tells
 // when to try again.
-func (s *Set) Take(ctx context.Context, start string) error {
+func (s *Set) Take(ctx context.Context, incarnation string) error {
 	if !s.Any() {
 		return nil
 	}
 	s.mu.Lock()
-	l, now := s.limitInForce(start), s.now()
+	l, now := s.limitInForce(incarnation), s.now()
 	if l == nil {
 		s.mu.Unlock()
 		return nil
@@ -48,70 +48,70 @@
 		s.mu.Unlock()
 		return ErrReached
 	}
-	granter := s.granterOf(start, l)
+	granter := s.granterOf(incarnation, l)
 	if granter != s.name {
 		s.mu.Unlock()
-		return s.ask(ctx, granter, start)
+		return s.ask(ctx, granter, incarnation)
 	}
 	defer s.mu.Unlock()
 	if wait := s.grant(l); wait > 0 {
-		s.deny(start, l, wait)
+		s.deny(incarnation, l, wait)
 		return ErrReached
 	}
 	return nil
 }
 
-// Closed returns the starts for which no permit is available now.
+// Closed returns the incarnations for which no permit is available now.
 func (s *Set) Closed() map[string]bool {
-	return s.startsWhere(func(l *limit) bool { return s.now().Before(l.closedUntil) })
+	return s.incarnationsWhere(func(l *limit) bool { return s.now().Before(l.closedUntil) })
 }
 
-// Starts returns the starts that have a limit in force.
+// Starts returns the incarnations that have a limit in force.
 func (s *Set) Starts() map[string]bool {
-	return s.startsWhere(func(*limit) bool { return true })
+	return s.incarnationsWhere(func(*limit) bool { return true })
 }
 
-// startsWhere returns the starts whose limit is in force and matches.
-func (s *Set) startsWhere(match func(l *limit) bool) map[string]bool {
+// incarnationsWhere returns the incarnations whose limit is in force and matches.
+func (s *Set) incarnationsWhere(match func(l *limit) bool) map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]bool{}
-	for start, l := range s.limits {
+	for incarnation, l := range s.limits {
 		if l.inForce() && match(l) {
-			out[start] = true
+			out[incarnation] = true
 		}
 	}
 	return out
 }
 
 // deny records that no permit is available for the given time. The caller must hold s.mu.
-func (s *Set) deny(start string, l *limit, wait time.Duration) {
+func (s *Set) deny(incarnation string, l *limit, wait time.Duration) {
 	now := s.now()
 	l.closedUntil = now.Add(wait)
 	l.deniedCount++
 	if now.Sub(l.deniedLoggedAt) < deniedLogInterval {
 		return
 	}
-	s.rec.Note(events.LimitReached, "", "upstream", start, "rate", l.rate, "granter", l.granter, "next-in", wait, "times", l.deniedCount)
+	s.rec.Note(events.LimitReached, "", "upstream", incarnation, "rate", l.rate, "granter", l.granter, "next-in", wait, "times", l.deniedCount)
 	l.deniedCount, l.deniedLoggedAt = 0, now
 }
 
-// OpensAt returns when a permit for a start may be available; a time that is not in the future
+// OpensAt returns when a permit for an incarnation may be available; a time that is not in the future
 // means now.
-func (s *Set) OpensAt(start string) time.Time {
+func (s *Set) OpensAt(incarnation string) time.Time {
 	if !s.Any() {
 		return time.Time{}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.limitInForce(start); l != nil {
+	if l := s.limitInForce(incarnation); l != nil {
 		return l.closedUntil
 	}
 	return time.Time{}
 }
 
 // ask asks the granter for a permit and waits for the answer.
-func (s *Set) ask(ctx context.Context, granter, start string) error {
+func (s *Set) ask(ctx context.Context, granter, incarnation string) error {
 	id, answers := s.newQuestion()
 	defer s.dropQuestion(id)
 	resendDelay := max(minResendDelay, resendRoundTrips*s.others.Way())
@@ -119,15 +119,15 @@
 	defer resend.Stop()
 	timeout := time.NewTimer(time.Duration(answerTimeoutFactor * float64(resendDelay)))
 	defer timeout.Stop()
-	s.sendQuestion(granter, id, start)
+	s.sendQuestion(granter, id, incarnation)
 	for {
 		select {
 		case a := <-answers:
-			return s.applyAnswer(start, a)
+			return s.applyAnswer(incarnation, a)
 		case <-resend.C:
-			s.sendQuestion(granter, id, start)
+			s.sendQuestion(granter, id, incarnation)
 		case <-timeout.C:
-			return s.noteNoAnswer(granter, start)
+			return s.noteNoAnswer(granter, incarnation)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -150,11 +150,11 @@
 	delete(s.pending, id)
 }
 
-func (s *Set) sendQuestion(granter string, id uint64, start string) {
+func (s *Set) sendQuestion(granter string, id uint64, incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := Observation{Start: start}
-	if l, ok := s.limits[start]; ok {
+	w := Observation{Start: incarnation}
+	if l, ok := s.limits[incarnation]; ok {
 		w.Rate, w.AdvertisedAt, w.NoLimitAt = l.rate, l.advertisedAt, l.observed.NoLimitAt
 	}
 	s.others.Send(granter, s.withHandshake(granter, Message{Question: &Question{ID: id, Word: encodeObservation(w, s.now())}}))
@@ -172,24 +172,24 @@
 }
 
 // applyAnswer returns the result of Take for an answer of the granter.
-func (s *Set) applyAnswer(start string, a Answer) error {
+func (s *Set) applyAnswer(incarnation string, a Answer) error {
 	if a.Granted {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.limitInForce(start); l != nil {
-		s.deny(start, l, a.wait())
+	if l := s.limitInForce(incarnation); l != nil {
+		s.deny(incarnation, l, a.wait())
 	}
 	return ErrReached
 }
 
-func (s *Set) noteNoAnswer(granter, start string) error {
+func (s *Set) noteNoAnswer(granter, incarnation string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.limitInForce(start); l != nil {
+	if l := s.limitInForce(incarnation); l != nil {
 		l.closedUntil = s.now().Add(noAnswerPause)
-		s.rec.Note(events.LimitNoAnswer, "", "upstream", start, "granter", granter, "again-in", noAnswerPause)
+		s.rec.Note(events.LimitNoAnswer, "", "upstream", incarnation, "granter", granter, "again-in", noAnswerPause)
 	}
 	return ErrNoAnswer
 }
--- a/internal/limits/rig_test.go
+++ b/internal/limits/rig_test.go
@@ -26,8 +26,8 @@
 	rigMaxUrgentDelay = 100 * time.Millisecond
 	// rigMessageRate bounds an entry's regular messages a second.
 	rigMessageRate = 250
-	// rigStart is the start of the upstream.
-	rigStart = "u"
+	// rigIncarnation is the incarnation of the upstream.
+	rigIncarnation = "u"
 )
 
 // rig simulates a deployment on virtual time: entries with their Sets, one upstream, and callers.
@@ -71,9 +71,9 @@
 	// The following are guarded by the rig's lock.
 
 	set *Set
-	// life is the number of the current start; 0 while the entry is down.
-	life     int
-	lastLife int
+	// incarnation is the number of the current incarnation; 0 while the entry is down.
+	incarnation     int
+	lastIncarnation int
 	// requested and served count the requests of the entry's callers.
 	requested, served int
 	// startedAt, frozenAt and partitionedAt are when this last happened to the entry, and
@@ -120,7 +120,7 @@
 	}
 }
 
-// current returns the Set of the entry's current start.
+// current returns the Set of the entry's current incarnation.
 func (e *rigEntry) current() *Set {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
@@ -137,17 +137,17 @@
 	r := e.rig
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.lastLife++
-	life := e.lastLife
-	e.life = life
+	e.lastIncarnation++
+	incarnation := e.lastIncarnation
+	e.incarnation = incarnation
 	e.startedAt, e.informedAt, e.ownLimiter, e.roundPending = time.Now(), time.Time{}, nil, false
-	e.set = New(e.name, strconv.Itoa(life), Others{
+	e.set = New(e.name, strconv.Itoa(incarnation), Others{
 		Heard: func() []Entry {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			var out []Entry
 			for _, o := range r.entries {
-				if e.hearsFrom(o) {
+				if e.receivesFrom(o) {
 					out = append(out, o.asPeer())
 				}
 			}
@@ -158,11 +158,11 @@
 			defer r.mu.Unlock()
 			for _, o := range r.entries {
 				if o.name == to {
-					e.send(life, o, m, time.Now())
+					e.send(incarnation, o, m, time.Now())
 				}
 			}
 		},
-		Urge: func() { e.scheduleRound(life) },
+		Urge: func() { e.scheduleRound(incarnation) },
 		Told: func() time.Duration {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -171,14 +171,14 @@
 		Way: func() time.Duration { return r.roundTrip },
 	}, events.Nop(), time.Now)
 	e.set.Listed(len(r.entries))
-	go e.sendRounds(life)
+	go e.sendRounds(incarnation)
 }
 
 // end stops the entry.
 func (e *rigEntry) end() {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
-	e.life, e.disturbedAt = 0, time.Now()
+	e.incarnation, e.disturbedAt = 0, time.Now()
 }
 
 // freeze suspends an entry or lets it run again.
@@ -204,16 +204,16 @@
 	}
 }
 
-// alive reports whether a start of an entry is running. The caller must hold the rig's lock.
-func (e *rigEntry) alive(life int) bool { return life > 0 && e.life == life && !e.frozen }
+// alive reports whether an incarnation of an entry is running. The caller must hold the rig's lock.
+func (e *rigEntry) alive(number int) bool { return number > 0 && e.incarnation == number && !e.frozen }
 
-// hearsFrom reports whether e counts another entry as heard: silence is noticed after three
+// receivesFrom reports whether e counts another entry as reachable: silence is noticed after three
 // intervals. The caller must hold the rig's lock.
-func (e *rigEntry) hearsFrom(o *rigEntry) bool {
+func (e *rigEntry) receivesFrom(o *rigEntry) bool {
 	r := e.rig
 	silence := 3 * r.interval()
 	switch {
-	case o == e || o.life == 0 || time.Since(o.startedAt) <= r.roundTrip:
+	case o == e || o.incarnation == 0 || time.Since(o.startedAt) <= r.roundTrip:
 		return false
 	case o.frozen:
 		return time.Since(o.frozenAt) < silence
@@ -230,22 +230,22 @@
 	return b
 }
 
-// sendRounds sends the regular rounds of one start.
-func (e *rigEntry) sendRounds(life int) {
+// sendRounds sends the regular rounds of one incarnation.
+func (e *rigEntry) sendRounds(incarnation int) {
 	for {
 		e.rig.mu.Lock()
-		interval, alive := e.rig.interval(), e.life == life
+		interval, alive := e.rig.interval(), e.incarnation == incarnation
 		e.rig.mu.Unlock()
 		if !alive {
 			return
 		}
 		time.Sleep(interval)
-		e.sendRound(life)
+		e.sendRound(incarnation)
 	}
 }
 
 // scheduleRound schedules an urgent round, unless one is scheduled already.
-func (e *rigEntry) scheduleRound(life int) {
+func (e *rigEntry) scheduleRound(incarnation int) {
 	e.rig.mu.Lock()
 	defer e.rig.mu.Unlock()
 	if e.roundPending {
@@ -256,12 +256,12 @@
 		e.rig.mu.Lock()
 		e.roundPending = false
 		e.rig.mu.Unlock()
-		e.sendRound(life)
+		e.sendRound(incarnation)
 	})
 }
 
-// asPeer returns what other entries know about this one. The caller must hold the rig's lock.
-func (e *rigEntry) asPeer() Entry { return Entry{Name: e.name, Life: strconv.Itoa(e.life)} }
+// asPeer returns what gossip reports about this entry. The caller must hold the rig's lock.
+func (e *rigEntry) asPeer() Entry { return Entry{Name: e.name, Life: strconv.Itoa(e.incarnation)} }
 
 // others returns all other entries.
 func (e *rigEntry) others() []Entry {
@@ -277,10 +277,10 @@
 }
 
 // sendRound sends the messages of one round.
-func (e *rigEntry) sendRound(life int) {
+func (e *rigEntry) sendRound(incarnation int) {
 	r := e.rig
 	r.mu.Lock()
-	set, alive := e.set, e.alive(life)
+	set, alive := e.set, e.alive(incarnation)
 	r.mu.Unlock()
 	if !alive {
 		return
@@ -289,20 +289,20 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.entries {
-		if m, told := messages[o.name]; told {
-			e.send(life, o, m, now)
+		if m, found := messages[o.name]; found {
+			e.send(incarnation, o, m, now)
 		}
 	}
 }
 
 // send sends a message, which may be lost and takes a quarter to three quarters of a round trip.
 // The caller must hold the rig's lock.
-func (e *rigEntry) send(life int, o *rigEntry, m Message, at time.Time) {
+func (e *rigEntry) send(incarnation int, o *rigEntry, m Message, at time.Time) {
 	r := e.rig
-	if !e.alive(life) || r.rng.Float64() < r.loss || r.minority[e] != r.minority[o] {
+	if !e.alive(incarnation) || r.rng.Float64() < r.loss || r.minority[e] != r.minority[o] {
 		return
 	}
-	to, set := o.life, o.set
+	to, set := o.incarnation, o.set
 	time.AfterFunc(time.Duration((0.25+r.rng.Float64()/2)*float64(r.roundTrip)), func() {
 		r.mu.Lock()
 		lost := !o.alive(to) || r.minority[e] != r.minority[o]
@@ -316,7 +316,7 @@
 // request handles one request of a caller at an entry.
 func (r *rig) request(e *rigEntry) {
 	r.mu.Lock()
-	life, set, alive := e.life, e.set, e.alive(e.life)
+	incarnation, set, alive := e.incarnation, e.set, e.alive(e.incarnation)
 	e.requested++
 	r.mu.Unlock()
 	if !alive {
@@ -325,15 +325,15 @@
 	sent := time.Now()
 	if r.equalShares {
 		if e.takeEqualShare() {
-			r.forward(e, life, sent)
+			r.forward(e, incarnation, sent)
 		}
 		return
 	}
-	if set.Take(context.Background(), rigStart) == nil {
+	if set.Take(context.Background(), rigIncarnation) == nil {
 		r.mu.Lock()
 		e.served++
 		r.mu.Unlock()
-		r.forward(e, life, time.Now())
+		r.forward(e, incarnation, time.Now())
 	}
 }
 
@@ -352,9 +352,9 @@
 }
 
 // forward sends a request to the upstream and processes the answer.
-func (r *rig) forward(e *rigEntry, life int, sent time.Time) {
+func (r *rig) forward(e *rigEntry, incarnation int, sent time.Time) {
 	r.mu.Lock()
-	alive := e.alive(life)
+	alive := e.alive(incarnation)
 	r.mu.Unlock()
 	if !alive {
 		return
@@ -368,8 +368,8 @@
 	r.mu.Unlock()
 	time.Sleep(r.roundTrip / 2)
 	r.mu.Lock()
-	alive, set := e.alive(life), e.set
-	// An answer that was made before the limit changed tells nothing about the next limit.
+	alive, set := e.alive(incarnation), e.set
+	// An answer that was made before the limit changed states nothing about the next limit.
 	if alive && advertised > 0 && e.informedAt.IsZero() && !at.Before(r.since) {
 		e.informedAt = at
 	}
@@ -377,9 +377,9 @@
 	switch {
 	case !alive:
 	case advertised == 0:
-		set.Unnamed(rigStart, sent)
+		set.Unnamed(rigIncarnation, sent)
 	default:
-		set.Named(rigStart, advertised)
+		set.Named(rigIncarnation, advertised)
 	}
 }
 
--- a/internal/limits/word.go
+++ b/internal/limits/word.go
@@ -17,14 +17,14 @@
 	maxObservations = 64
 )
 
-// Observation is what an entry read itself in the answers of an upstream start.
+// Observation is what an entry read itself in the answers of an upstream incarnation.
 type Observation struct {
 	Start string
 	// Rate is the latest advertised limit in requests a second, and AdvertisedAt when it was read;
 	// zero for never.
 	Rate         float64
 	AdvertisedAt time.Time
-	// NoLimitAt is when the start is last known to have had no limit; zero for never.
+	// NoLimitAt is when the incarnation is last known to have had no limit; zero for never.
 	NoLimitAt time.Time
 }
 
@@ -38,12 +38,12 @@
 // must hold s.mu.
 func (s *Set) observations() []wireObservation {
 	var list []Observation
-	for start, l := range s.limits {
+	for incarnation, l := range s.limits {
 		if l.observed.AdvertisedAt.IsZero() && l.observed.NoLimitAt.IsZero() {
 			continue
 		}
 		w := l.observed
-		w.Start = start
+		w.Start = incarnation
 		list = append(list, w)
 	}
 	slices.SortFunc(list, func(a, b Observation) int {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -238,7 +238,7 @@
 
 # What limited upstreams take.
 limits=internal/limits
-mutant limits-part $limits/grant.go 's/if 2\*heard > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
+mutant limits-part $limits/grant.go 's/if 2\*live > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
 mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.Told\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
 mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(observed\.Start, l\) != s\.name:/case s.granterOf(observed.Start, l) == "":/' $limits TestAnswers
 mutant limits-asked-twice $limits/grant.go 's/if !repeated \{/if _ = repeated; true {/' $limits TestAnswers
@@ -247,12 +247,12 @@
 mutant limits-not-listed $limits/grant.go 's/\tif s\.entryCount == 0 \{\n\t\treturn 0\n\t\}\n//' $limits TestGrantedRate
 mutant limits-order $limits/grant.go 's/return mix\(h\.Sum64\(\)\)/return h.Sum64()/' $limits TestGrantersAreSpread
 mutant limits-closed $limits/permit.go 's/if now\.Before\(l\.closedUntil\) \{/if now.IsZero() {/' $limits TestNoAnswer
-mutant limits-late-head $limits/limits.go 's/s\.noteNoLimit\(start, sent, ownAnswer\)/s.noteNoLimit(start, s.now(), ownAnswer)/' $limits TestLimitInForce
+mutant limits-late-head $limits/limits.go 's/s\.noteNoLimit\(incarnation, sent, ownAnswer\)/s.noteNoLimit(incarnation, s.now(), ownAnswer)/' $limits TestLimitInForce
 mutant limits-most $limits/limits.go 's/full := len\(s\.limits\) >= maxLimits/full := false/' $limits TestLimitsAreBounded
 mutant limits-old-word $limits/message.go 's/out\.NoLimitAt = timeAtAge\(sent/out.NoLimitAt = timeAtAge(now/' $limits TestDecodeObservation
 mutant limits-settled $limits/peers.go 's/ \|\| !p\.acknowledged \|\| p\.wantsAck//' $limits TestRestartedEntryAgreesOnTheGranter
 mutant limits-asks $limits/peers.go 's/ \|\| p\.wantsAck//' internal/gossip TestReceiversOfLimitMessages
-mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestGranterCandidates
+mutant limits-earlier-life $limits/peers.go 's/return known && p\.incarnation == e\.Life/return known && p.incarnation != ""/' $limits TestGranterCandidates
 mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestHeard
 mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestGranterCandidates
 mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestSentNotBefore
