--- a/internal/quarantine/bystanders_test.go
+++ b/internal/quarantine/bystanders_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// reportOf returns a peer's report about a request. crashes lists the crashed starts, separated by
+// reportOf returns a peer's report about a request. crashes lists the crashed incarnations, separated by
 // a bar into those of ordinary runs and those of trial runs.
 func reportOf(name, crashes string, at time.Time) Word {
 	ordinary, trial, _ := strings.Cut(crashes, "|")
@@ -15,8 +15,8 @@
 		Request: request(name), Ends: map[string]time.Time{},
 		First: strings.Fields(ordinary), Tried: strings.Fields(trial),
 	}
-	for start := range strings.FieldsSeq(strings.Replace(crashes, "|", " ", 1)) {
-		w.Ends[start] = at
+	for incarnation := range strings.FieldsSeq(strings.Replace(crashes, "|", " ", 1)) {
+		w.Ends[incarnation] = at
 	}
 	return w
 }
@@ -60,8 +60,8 @@
 func TestNoQuarantineBeforePeerReportsArrive(t *testing.T) {
 	f := newTestSet(t)
 	f.Hear("other", nil)
-	for _, start := range []string{"1", "2", "3"} {
-		f.crashUnder("harmless", start)
+	for _, incarnation := range []string{"1", "2", "3"} {
+		f.crashUnder("harmless", incarnation)
 		f.clock = f.clock.Add(localReportTime)
 	}
 	if quarantined := f.quarantinedOf("harmless"); quarantined != "" {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,10 +1,10 @@
 // Package quarantine keeps poison requests, which crash the upstreams that run them, away from
-// upstreams. An entry (internal/gateway or internal/entry) tells a Set which upstream starts
+// upstreams. An entry (internal/gateway or internal/entry) tells a Set which upstream incarnations
 // crashed under which requests, and exchanges these reports with its peers by gossip. The Set
 // restricts suspects and refuses a request once the crashes can be attributed to it.
 //
-// A start is one run of an upstream process, from one restart to the next. A crash is the unplanned
-// end of a start. Wire formats, log events and some exported names say "end" for a crash and "held"
+// An incarnation is one run of an upstream process, from one start to the next. A crash is the unplanned
+// end of an incarnation. Wire formats, log events and some exported names say "end" for a crash and "held"
 // for quarantined.
 package quarantine
 
--- a/internal/quarantine/innocent_test.go
+++ b/internal/quarantine/innocent_test.go
@@ -17,12 +17,12 @@
 	return out
 }
 
-// crashStart crashes a start during the given runs.
-func (f *fixture) crashStart(start string, runs []*Run) {
+// crashIncarnation crashes an incarnation during the given runs.
+func (f *fixture) crashIncarnation(incarnation string, runs []*Run) {
 	for _, r := range runs {
-		r.Broke(start)
+		r.Broke(incarnation)
 	}
-	f.Ended(start)
+	f.Ended(incarnation)
 	for _, r := range runs {
 		r.Leave()
 	}
@@ -37,9 +37,9 @@
 	f := newTestSet(t)
 	first, second, third := f.startRuns("first poison", "harmless"),
 		f.startRuns("first poison", "harmless"), f.startRuns("second poison", "harmless")
-	f.crashStart("1", first)
-	f.crashStart("2", second)
-	f.crashStart("3", third)
+	f.crashIncarnation("1", first)
+	f.crashIncarnation("2", second)
+	f.crashIncarnation("3", third)
 	if _, err := f.Enter(t.Context(), request("harmless"), 0); errors.Is(err, ErrHeld) {
 		t.Errorf("harmless request: %v", err)
 	}
@@ -57,13 +57,13 @@
 	}
 }
 
-// TestLaterStartUnderNameOfEarlierStart guards against merging the crashes of two starts of one
-// upstream. A restarted upstream accepts requests before its record has the name of the new start,
-// so entries still route to it by the name of the old one. A crash of the new start then counted
-// against requests that had run only at the old start, and explained the crash of the old one.
-func TestLaterStartUnderNameOfEarlierStart(t *testing.T) {
+// TestLaterIncarnationUnderNameOfEarlierIncarnation guards against merging the crashes of two
+// incarnations of an upstream. A restarted upstream accepts requests before its record has its new name,
+// so entries still route to it by the old name. A crash of the new incarnation then counted against
+// requests that had run only at the old incarnation, and explained the crash of the old one.
+func TestLaterIncarnationUnderNameOfEarlierIncarnation(t *testing.T) {
 	f := newTestSet(t)
-	f.crashStart("1", f.startRuns("a", "b"))
+	f.crashIncarnation("1", f.startRuns("a", "b"))
 	f.clock = f.clock.Add(confirmTimeout)
 	f.crashUnder("c", "1", "2")
 	merged := false
@@ -71,15 +71,15 @@
 		if v.Fingerprint != named("c") {
 			continue
 		}
-		for _, start := range v.Ends {
-			merged = merged || start == "1"
+		for _, incarnation := range v.Ends {
+			merged = merged || incarnation == "1"
 		}
 		if len(v.Ends) != 2 {
-			t.Errorf("%v crashed under it, want two starts", v.Ends)
+			t.Errorf("%v crashed under it, want two incarnations", v.Ends)
 		}
 	}
 	if merged {
-		t.Error("the crash of the later start was merged with that of the earlier start")
+		t.Error("the crash of the later incarnation was merged with that of the earlier incarnation")
 	}
 	f.clock = f.clock.Add(confirmTimeout)
 	f.crashUnder("c", "1")
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -21,7 +21,7 @@
 // View is what operators see of a suspect.
 type View struct {
 	Request
-	// Ends lists the starts whose crashes count against the request, and Latest is the time of the
+	// Ends lists the incarnations whose crashes count against the request, and Latest is the time of the
 	// latest of these crashes.
 	Ends   []string
 	Latest time.Time
@@ -141,6 +141,6 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error means that the operator's connection is gone; the operator can ask again.
+	// An error means that the operator's connection is closed; the operator can ask again.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -9,10 +9,10 @@
 	Fingerprint []byte   `json:"f"`
 	Route       string   `json:"r,omitempty"`
 	Account     string   `json:"a,omitempty"`
-	// EndAgesMS maps each start that crashed under the request to the age of the crash in
+	// EndAgesMS maps each incarnation that crashed under the request to the age of the crash in
 	// milliseconds.
 	EndAgesMS map[string]int64 `json:"e,omitempty"`
-	// Void lists the starts whose crashes no longer count against the request.
+	// Void lists the incarnations whose crashes no longer count against the request.
 	Void []string `json:"v,omitempty"`
 	// Runs is set if the sender is running the request.
 	Runs bool `json:"x,omitempty"`
@@ -26,8 +26,8 @@
 		if len(w.Ends) > 0 {
 			m.EndAgesMS = make(map[string]int64, len(w.Ends))
 		}
-		for start, at := range w.Ends {
-			m.EndAgesMS[start] = now.Sub(at).Milliseconds()
+		for incarnation, at := range w.Ends {
+			m.EndAgesMS[incarnation] = now.Sub(at).Milliseconds()
 		}
 		out = append(out, m)
 	}
@@ -46,15 +46,15 @@
 		if len(m.EndAgesMS) > 0 {
 			w.Ends = make(map[string]time.Time, len(m.EndAgesMS))
 		}
-		for start, age := range m.EndAgesMS {
-			w.Ends[start] = now.Add(-time.Duration(age) * time.Millisecond)
+		for incarnation, age := range m.EndAgesMS {
+			w.Ends[incarnation] = now.Add(-time.Duration(age) * time.Millisecond)
 		}
 		out = append(out, w)
 	}
 	return out
 }
 
-// RunsMessage is the wire form of how a request ran at the crashed starts, encoded as CBOR or JSON.
+// RunsMessage is the wire form of how a request ran at the crashed incarnations, encoded as CBOR or JSON.
 // It is separate from Message because the previous release decodes messages with a fixed set of
 // fields. A receiver that gets no RunsMessage counts every crash in full.
 type RunsMessage struct {
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -83,40 +83,40 @@
 	}
 }
 
-// Broke notes that the connection to a start was lost before its response was complete. The start
-// is given by the name under which the request was routed. The caller then finds out whether the
+// Broke notes that the connection to an incarnation was lost before its response was complete. The
+// incarnation is given by the name under which the request was routed. The caller then finds out whether the
 // upstream crashed and calls Set.Ended or Set.Lives.
-func (r *Run) Broke(start string) {
+func (r *Run) Broke(incarnation string) {
 	r.set.mu.Lock()
 	defer r.set.mu.Unlock()
-	r.responseLost(start, r.set.resolveStart(start, r.sentAt))
+	r.responseLost(incarnation, r.set.resolveIncarnation(incarnation, r.sentAt))
 }
 
-// EndedWith notes that a start crashed while it ran the request, as reported by the upstream's
+// EndedWith notes that an incarnation crashed while it ran the request, as reported by the upstream's
 // sidecar.
-func (r *Run) EndedWith(start string) {
+func (r *Run) EndedWith(incarnation string) {
 	r.set.mu.Lock()
-	r.responseLost(start, start)
+	r.responseLost(incarnation, incarnation)
 	r.set.mu.Unlock()
-	r.set.Ended(start)
+	r.set.Ended(incarnation)
 }
 
-// responseLost notes a lost response. actualStart differs from routedTo if a later start ran the
+// responseLost notes a lost response. actualIncarnation differs from routedTo if a later incarnation ran the
 // request. The caller must hold the lock.
-func (r *Run) responseLost(routedTo, actualStart string) {
+func (r *Run) responseLost(routedTo, actualIncarnation string) {
 	s := r.set
 	if s.servedRecently(r.request.Fingerprint) {
 		return
 	}
 	u := s.getOrAdd(r.request)
-	if _, known := u.crashes[actualStart]; known {
+	if _, known := u.crashes[actualIncarnation]; known {
 		return
 	}
 	lost := lostResponse{at: s.now(), routedTo: routedTo, kind: trialRun}
-	if !r.onTrial || u.lostResponses[actualStart].kind == ordinaryRun {
+	if !r.onTrial || u.lostResponses[actualIncarnation].kind == ordinaryRun {
 		lost.kind = ordinaryRun
 	}
-	u.lostResponses[actualStart] = lost
+	u.lostResponses[actualIncarnation] = lost
 }
 
 // Served notes that an upstream completed the response, which clears the request of suspicion.
--- a/internal/quarantine/scale_test.go
+++ b/internal/quarantine/scale_test.go
@@ -30,7 +30,7 @@
 	detectionDelay = 3 * time.Millisecond
 	// gossipInterval is the minimum interval between two urgent messages of an entry.
 	gossipInterval = 100 * time.Millisecond
-	// convergenceTime is the time after the third crash within which all entries must know of it.
+	// convergenceTime is the time after the third crash within which all entries must have recorded it.
 	// This is a requirement of the platform.
 	convergenceTime = 3 * time.Second
 	// harmlessDuration is the mean duration of a harmless request, and commonShare the share of
@@ -39,12 +39,12 @@
 	commonShare      = 0.2
 )
 
-// rigUpstream is an upstream. A crash of its current start cuts all its runs.
+// rigUpstream is an upstream. A crash of its current incarnation cuts all its runs.
 type rigUpstream struct {
-	start   string
-	ended   chan struct{}
-	up      bool
-	running int
+	incarnation string
+	crashed     chan struct{}
+	up          bool
+	running     int
 }
 
 type rig struct {
@@ -83,14 +83,14 @@
 
 func (r *rig) startUpstream(u *rigUpstream) {
 	r.starts++
-	u.start, u.ended, u.up, u.running = "s"+strconv.Itoa(r.starts), make(chan struct{}), true, 0
+	u.incarnation, u.crashed, u.up, u.running = "s"+strconv.Itoa(r.starts), make(chan struct{}), true, 0
 }
 
 // maxCandidates is the number of upstreams compared for a suspect, which gets the least loaded one.
 const maxCandidates = 4
 
-// pick returns an upstream that is up, with its current start.
-func (r *rig) pick(suspected bool) (u *rigUpstream, start string, ended chan struct{}) {
+// pick returns an upstream that is up, with its current incarnation.
+func (r *rig) pick(suspected bool) (u *rigUpstream, incarnation string, crashed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tries := 1
@@ -107,7 +107,7 @@
 	if best == nil {
 		return nil, "", nil
 	}
-	return best, best.start, best.ended
+	return best, best.incarnation, best.crashed
 }
 
 // gossip delivers the reports of entries that asked for an urgent message.
@@ -140,18 +140,18 @@
 	}
 	defer run.Leave()
 	for range 2 {
-		u, start, ended := r.pick(run.Suspected())
+		u, incarnation, crashed := r.pick(run.Suspected())
 		if u == nil || !run.MaySend() {
 			return
 		}
 		run.Sent()
-		if r.runOn(u, ended, poison) {
+		if r.runOn(u, crashed, poison) {
 			run.Served()
 			return
 		}
-		run.Broke(start)
+		run.Broke(incarnation)
 		time.Sleep(detectionDelay)
-		e.Ended(start)
+		e.Ended(incarnation)
 		if !run.MayRepeat() {
 			return
 		}
@@ -159,7 +159,7 @@
 }
 
 // runOn runs a request at an upstream and reports whether it was served.
-func (r *rig) runOn(u *rigUpstream, ended chan struct{}, poison bool) bool {
+func (r *rig) runOn(u *rigUpstream, crashed chan struct{}, poison bool) bool {
 	r.mu.Lock()
 	takes := time.Duration(r.rng.ExpFloat64() * float64(harmlessDuration))
 	if poison {
@@ -170,18 +170,18 @@
 	r.mu.Unlock()
 	over := false
 	select {
-	case <-ended:
+	case <-crashed:
 	case <-time.After(takes):
 		over = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u.ended == ended {
+	if u.crashed == crashed {
 		u.running--
 	}
 	switch {
 	case over && poison:
-		r.crash(u, ended)
+		r.crash(u, crashed)
 		return false
 	case over:
 		r.served++
@@ -191,12 +191,12 @@
 	return over
 }
 
-// crash crashes a start of an upstream, unless it has already crashed, and schedules the restart.
-func (r *rig) crash(u *rigUpstream, ended chan struct{}) {
-	if u.ended != ended || !u.up {
+// crash crashes an incarnation of an upstream, unless it has already crashed, and schedules the restart.
+func (r *rig) crash(u *rigUpstream, crashed chan struct{}) {
+	if u.crashed != crashed || !u.up {
 		return
 	}
-	close(ended)
+	close(crashed)
 	r.crashes = append(r.crashes, time.Now())
 	u.up = false
 	time.AfterFunc(restartDelay, func() {
--- a/internal/quarantine/set.go
+++ b/internal/quarantine/set.go
@@ -32,7 +32,7 @@
 	minQuarantine = 10 * time.Minute
 	maxQuarantine = 8 * time.Hour
 	// confirmTimeout is how long it takes at most to find out whether an upstream crashed after a
-	// lost response, from its address or from the record of its next start.
+	// lost response, from its address or from the record of its next incarnation.
 	confirmTimeout = 3 * time.Second
 	// suspectTTL is how long a request with one or two crashes is remembered, and how long a
 	// quarantined request is remembered after its quarantine period.
@@ -67,7 +67,7 @@
 	ErrOnTrial = errors.New("an upstream ended under this request, and it is being tried at another one")
 )
 
-// Set holds the suspects that an entry knows.
+// Set holds the suspects of an entry.
 type Set struct {
 	rec *events.Recorder
 	now func() time.Time
@@ -76,7 +76,7 @@
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// explained holds the starts whose crashes a quarantined request explains.
+	// explained holds the incarnations whose crashes a quarantined request explains.
 	explained explained
 	// served maps requests served here recently to the time of the latest response.
 	served map[Fingerprint]time.Time
@@ -88,9 +88,9 @@
 	localQuarantines int
 	// peerRuns holds the suspects that peers run, by peer.
 	peerRuns map[string]peerSnapshot
-	// name is the name of this entry, and lastHeard maps peers to the time of their latest message.
-	name      string
-	lastHeard map[string]time.Time
+	// name is the name of this entry, and lastReportAt maps peers to the time of their latest message.
+	name         string
+	lastReportAt map[string]time.Time
 	// changed is closed and replaced when waiting requests must check again whether they may run.
 	changed chan struct{}
 }
@@ -108,8 +108,8 @@
 	return &Set{
 		rec: rec, now: now, gossipNow: gossipNow, suspects: map[Fingerprint]*suspect{},
 		running: map[Fingerprint]int{}, served: map[Fingerprint]time.Time{}, trials: map[*Run]string{},
-		lastHeard: map[string]time.Time{},
-		peerRuns:  map[string]peerSnapshot{}, changed: make(chan struct{}),
+		lastReportAt: map[string]time.Time{},
+		peerRuns:     map[string]peerSnapshot{}, changed: make(chan struct{}),
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 	for _, h := range s.suspects {
 		if h != u && !h.quarantinedAt.IsZero() &&
-			!slices.ContainsFunc(active, func(start string) bool { return !h.countsCrash(start) }) {
+			!slices.ContainsFunc(active, func(incarnation string) bool { return !h.countsCrash(incarnation) }) {
 			return true
 		}
 	}
@@ -264,23 +264,23 @@
 	)
 }
 
-// Ended confirms that a start of an upstream crashed. It becomes a crash of all requests that lost a
+// Ended confirms that an incarnation of an upstream crashed. It becomes a crash of all requests that lost a
 // response there.
-func (s *Set) Ended(start string) {
+func (s *Set) Ended(incarnation string) {
 	s.mu.Lock()
 	changed := false
 	for _, u := range s.suspects {
-		for actualStart, lost := range u.lostResponses {
-			if lost.routedTo != start {
+		for actualIncarnation, lost := range u.lostResponses {
+			if lost.routedTo != incarnation {
 				continue
 			}
-			delete(u.lostResponses, actualStart)
-			if u.addCrash(actualStart, lost.at, true) {
+			delete(u.lostResponses, actualIncarnation)
+			if u.addCrash(actualIncarnation, lost.at, true) {
 				changed = true
-				u.setRunKind(actualStart, lost.kind)
-				s.voidIfServed(u, actualStart)
+				u.setRunKind(actualIncarnation, lost.kind)
+				s.voidIfServed(u, actualIncarnation)
 				s.rec.Note(events.RequestSuspected, "", "fingerprint", u.fingerprint, "route", u.route,
-					"account", u.account, "upstream", actualStart, "ends", len(u.activeCrashes()),
+					"account", u.account, "upstream", actualIncarnation, "ends", len(u.activeCrashes()),
 					"on-trial", lost.kind == trialRun)
 			}
 		}
@@ -298,22 +298,22 @@
 
 // voidIfServed voids a crash if this entry served the request recently. The caller must hold the
 // lock.
-func (s *Set) voidIfServed(u *suspect, start string) {
+func (s *Set) voidIfServed(u *suspect, incarnation string) {
 	if s.servedRecently(u.fingerprint) {
-		u.voidCrash(start, s.now())
+		u.voidCrash(incarnation, s.now())
 	}
 }
 
-// Lives notes that a start whose responses were lost still accepts connections, so it probably did
+// Lives notes that an incarnation whose responses were lost still accepts connections, so it probably did
 // not crash.
-func (s *Set) Lives(start string) {
+func (s *Set) Lives(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.suspects {
-		for actualStart, lost := range u.lostResponses {
-			if lost.routedTo == start {
+		for actualIncarnation, lost := range u.lostResponses {
+			if lost.routedTo == incarnation {
 				lost.alive = true
-				u.lostResponses[actualStart] = lost
+				u.lostResponses[actualIncarnation] = lost
 			}
 		}
 	}
@@ -352,7 +352,7 @@
 
 // hasLivePeers reports whether a peer sent a message recently. The caller must hold the lock.
 func (s *Set) hasLivePeers() bool {
-	for _, at := range s.lastHeard {
+	for _, at := range s.lastReportAt {
 		if s.now().Sub(at) < peerTTL {
 			return true
 		}
@@ -361,20 +361,20 @@
 }
 
 // Sweep confirms or drops possible crashes and forgets expired suspects. replaced reports whether a
-// later start has taken the place of a start.
-func (s *Set) Sweep(replaced func(start string) bool) {
+// later incarnation has taken the place of an incarnation.
+func (s *Set) Sweep(replaced func(incarnation string) bool) {
 	s.mu.Lock()
 	now := s.now()
-	maps.DeleteFunc(s.lastHeard, func(_ string, at time.Time) bool { return now.Sub(at) >= peerTTL })
+	maps.DeleteFunc(s.lastReportAt, func(_ string, at time.Time) bool { return now.Sub(at) >= peerTTL })
 	maps.DeleteFunc(s.served, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) >= servedTTL })
-	replacedStarts := map[string]bool{}
+	replacedIncarnations := map[string]bool{}
 	for f, u := range s.suspects {
-		for actualStart, lost := range u.lostResponses {
+		for actualIncarnation, lost := range u.lostResponses {
 			switch {
 			case replaced(lost.routedTo):
-				replacedStarts[lost.routedTo] = true
+				replacedIncarnations[lost.routedTo] = true
 			case now.Sub(lost.at) > confirmTimeout:
-				delete(u.lostResponses, actualStart)
+				delete(u.lostResponses, actualIncarnation)
 			}
 		}
 		if u.expired(now) {
@@ -383,7 +383,7 @@
 	}
 	s.updateQuarantines()
 	s.mu.Unlock()
-	for start := range replacedStarts {
-		s.Ended(start)
+	for incarnation := range replacedIncarnations {
+		s.Ended(incarnation)
 	}
 }
--- a/internal/quarantine/set_test.go
+++ b/internal/quarantine/set_test.go
@@ -37,14 +37,14 @@
 	return r
 }
 
-// crashUnder crashes starts of upstreams, one after another, while they run a request.
-func (f *fixture) crashUnder(name string, starts ...string) {
+// crashUnder crashes incarnations of upstreams, one after another, while they run a request.
+func (f *fixture) crashUnder(name string, incarnations ...string) {
 	f.t.Helper()
-	for _, start := range starts {
+	for _, incarnation := range incarnations {
 		r := f.enter(name)
 		r.Sent()
-		r.Broke(start)
-		f.Ended(start)
+		r.Broke(incarnation)
+		f.Ended(incarnation)
 		r.Leave()
 	}
 }
@@ -85,13 +85,13 @@
 		if !r.MaySend() {
 			t.Error("the trial may not be sent")
 		}
-		start := "more " + strconv.Itoa(i)
+		incarnation := "more " + strconv.Itoa(i)
 		r.Sent()
 		if r.MaySend() || r.MayRepeat() {
 			t.Error("the trial may be sent twice")
 		}
-		r.Broke(start)
-		f.Ended(start)
+		r.Broke(incarnation)
+		f.Ended(incarnation)
 		r.Leave()
 		period *= 2
 	}
@@ -172,7 +172,7 @@
 		{"no information yet", func(*fixture) {}, true},
 		{"upstream accepts connections", func(f *fixture) { f.Lives("1") }, false},
 		{"upstream refuses connections", func(f *fixture) { f.Ended("1") }, true},
-		{"upstream accepts connections and its next start is known", func(f *fixture) {
+		{"upstream accepts connections and its next incarnation is known", func(f *fixture) {
 			f.Lives("1")
 			f.Sweep(func(string) bool { return true })
 		}, true},
@@ -206,10 +206,10 @@
 // known yet whether the upstreams crashed. A further trial could crash a fourth upstream.
 func TestUnconfirmedCrashesDelayNextTrial(t *testing.T) {
 	f := newTestSet(t)
-	for _, start := range []string{"1", "2", "3"} {
+	for _, incarnation := range []string{"1", "2", "3"} {
 		r := f.enter("a")
 		r.Sent()
-		r.Broke(start)
+		r.Broke(incarnation)
 		r.Leave()
 	}
 	if err := f.enterError(); !errors.Is(err, ErrOnTrial) {
--- a/internal/quarantine/several_test.go
+++ b/internal/quarantine/several_test.go
@@ -86,18 +86,18 @@
 	}
 	defer run.Leave()
 	for range 2 {
-		u, start, ended := c.place(e, run)
+		u, incarnation, crashed := c.place(e, run)
 		if u == nil || !run.MaySend() {
 			return
 		}
-		noteSent(run, start)
-		if c.runNamedOn(u, ended, name, poison) {
+		noteSent(run, incarnation)
+		if c.runNamedOn(u, crashed, name, poison) {
 			run.Served()
 			return
 		}
-		run.Broke(start)
+		run.Broke(incarnation)
 		time.Sleep(detectionDelay)
-		e.Ended(start)
+		e.Ended(incarnation)
 		if !run.MayRepeat() {
 			return
 		}
@@ -105,7 +105,7 @@
 }
 
 // runNamedOn is runOn with results for each poison request.
-func (c *multiRig) runNamedOn(u *rigUpstream, ended chan struct{}, name string, poison bool) bool {
+func (c *multiRig) runNamedOn(u *rigUpstream, crashed chan struct{}, name string, poison bool) bool {
 	before := 0
 	if poison {
 		c.mu.Lock()
@@ -113,7 +113,7 @@
 		before = len(c.crashes)
 		c.mu.Unlock()
 	}
-	ok := c.runOn(u, ended, poison)
+	ok := c.runOn(u, crashed, poison)
 	if poison {
 		c.mu.Lock()
 		if len(c.crashes) > before && c.crashes[len(c.crashes)-1].Equal(time.Now()) {
@@ -171,7 +171,7 @@
 		c.mu.Lock()
 		u := c.upstreams[i%len(c.upstreams)]
 		if u.up {
-			close(u.ended)
+			close(u.crashed)
 			u.up = false
 			time.AfterFunc(restartDelay, func() {
 				c.mu.Lock()
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -10,9 +10,9 @@
 	fingerprint Fingerprint
 	route       string
 	account     string
-	// crashes maps the starts that crashed while they ran the request.
+	// crashes maps the incarnations that crashed while they ran the request.
 	crashes map[string]crash
-	// lostResponses maps the starts whose response to the request was lost; it is not known yet
+	// lostResponses maps the incarnations whose response to the request was lost; it is not known yet
 	// whether they crashed.
 	lostResponses map[string]lostResponse
 	// quarantinedAt is when the quarantine began; zero if there is none.
@@ -21,7 +21,7 @@
 	refused int
 }
 
-// crash is the crash of one start of an upstream. Merging only adds crashes and voids, so entries
+// crash is the crash of one incarnation of an upstream. Merging only adds crashes and voids, so entries
 // may merge reports late, repeatedly and in any order.
 type crash struct {
 	at time.Time
@@ -42,7 +42,7 @@
 // lostResponse is a response whose connection was lost before it was complete.
 type lostResponse struct {
 	at time.Time
-	// routedTo is the name of the start to which the request was routed, and kind how it ran there.
+	// routedTo is the name of the incarnation to which the request was routed, and kind how it ran there.
 	routedTo string
 	kind     runKind
 	// alive is set if the upstream's address accepted a connection afterwards.
@@ -53,25 +53,25 @@
 	return &suspect{fingerprint: f, crashes: map[string]crash{}, lostResponses: map[string]lostResponse{}}
 }
 
-// addCrash records the crash of a start that ran the request; it returns false if it was known.
-func (u *suspect) addCrash(start string, at time.Time, local bool) bool {
-	if _, known := u.crashes[start]; known {
+// addCrash records the crash of an incarnation that ran the request; it returns false if it was known.
+func (u *suspect) addCrash(incarnation string, at time.Time, local bool) bool {
+	if _, known := u.crashes[incarnation]; known {
 		return false
 	}
 	if len(u.crashes) >= maxCrashes {
 		u.dropOldest()
 	}
-	u.crashes[start] = crash{at: at, local: local}
+	u.crashes[incarnation] = crash{at: at, local: local}
 	return true
 }
 
 // dropOldest forgets the oldest voided crash or, if there is none, the oldest crash.
 func (u *suspect) dropOldest() {
 	oldest := ""
-	for start, c := range u.crashes {
+	for incarnation, c := range u.crashes {
 		o, ok := u.crashes[oldest]
 		if !ok || c.voided() && !o.voided() || c.voided() == o.voided() && c.at.Before(o.at) {
-			oldest = start
+			oldest = incarnation
 		}
 	}
 	delete(u.crashes, oldest)
@@ -80,22 +80,22 @@
 // clear voids all crashes of the request and returns their number.
 func (u *suspect) clear(now time.Time) int {
 	active := u.activeCrashes()
-	for _, start := range active {
-		u.voidCrash(start, now)
+	for _, incarnation := range active {
+		u.voidCrash(incarnation, now)
 	}
 	clear(u.lostResponses)
 	return len(active)
 }
 
 // voidCrash voids one crash; it returns false if it was already void.
-func (u *suspect) voidCrash(start string, now time.Time) bool {
-	if u.crashes[start].voided() {
+func (u *suspect) voidCrash(incarnation string, now time.Time) bool {
+	if u.crashes[incarnation].voided() {
 		return false
 	}
-	u.addCrash(start, now, false)
-	c := u.crashes[start]
+	u.addCrash(incarnation, now, false)
+	c := u.crashes[incarnation]
 	c.voidedAt = now
-	u.crashes[start] = c
+	u.crashes[incarnation] = c
 	return true
 }
 
@@ -109,19 +109,19 @@
 	return false
 }
 
-// setRunKind records how the request ran at a crashed start, and reports whether that changed
+// setRunKind records how the request ran at a crashed incarnation, and reports whether that changed
 // anything.
-func (u *suspect) setRunKind(start string, kind runKind) bool {
-	c, known := u.crashes[start]
+func (u *suspect) setRunKind(incarnation string, kind runKind) bool {
+	c, known := u.crashes[incarnation]
 	if !known || kind <= c.kind {
 		return false
 	}
 	c.kind = kind
-	u.crashes[start] = c
+	u.crashes[incarnation] = c
 	return true
 }
 
-// runKind is how a request ran at a start that crashed. If reports differ, the greater value wins,
+// runKind is how a request ran at an incarnation that crashed. If reports differ, the greater value wins,
 // so that they can be merged in any order.
 type runKind int
 
@@ -135,12 +135,12 @@
 	ordinaryRun
 )
 
-// activeCrashes returns the starts whose crashes count against the request.
+// activeCrashes returns the incarnations whose crashes count against the request.
 func (u *suspect) activeCrashes() []string {
 	var out []string
-	for start, c := range u.crashes {
+	for incarnation, c := range u.crashes {
 		if !c.voided() {
-			out = append(out, start)
+			out = append(out, incarnation)
 		}
 	}
 	return out
@@ -148,33 +148,33 @@
 
 // trialCrashes returns those of the given crashes at which the request may have run as a suspect.
 func (u *suspect) trialCrashes(crashes []string) []string {
-	return slices.DeleteFunc(slices.Clone(crashes), func(start string) bool {
-		return u.crashes[start].kind == ordinaryRun
+	return slices.DeleteFunc(slices.Clone(crashes), func(incarnation string) bool {
+		return u.crashes[incarnation].kind == ordinaryRun
 	})
 }
 
 // markComplete marks the crashes for which there was enough time to learn which other requests ran
 // there. hasPeers tells whether peers may still report some.
 func (u *suspect) markComplete(now time.Time, hasPeers bool) {
-	for start, c := range u.crashes {
+	for incarnation, c := range u.crashes {
 		within := localReportTime
 		switch {
 		case hasPeers:
 			within = peerReportTime
 		case c.kind == trialRun:
-			// A suspect runs once at a time, and without peers this entry knows all other runs.
+			// A suspect runs once at a time, and without peers all other runs are at this entry.
 			within = 0
 		}
 		if !c.complete && now.Sub(c.at) >= within {
 			c.complete = true
-			u.crashes[start] = c
+			u.crashes[incarnation] = c
 		}
 	}
 }
 
-// countsCrash reports whether the crash of a start counts against the request.
-func (u *suspect) countsCrash(start string) bool {
-	c, known := u.crashes[start]
+// countsCrash reports whether the crash of an incarnation counts against the request.
+func (u *suspect) countsCrash(incarnation string) bool {
+	c, known := u.crashes[incarnation]
 	return known && !c.voided()
 }
 
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -11,15 +11,15 @@
 )
 
 // TestRequestSentRightAfterCrash guards against counting one crash as two. A request that is sent
-// on an open connection just after the upstream crashed did not run at a later start.
+// on an open connection just after the upstream crashed did not run at a later incarnation.
 func TestRequestSentRightAfterCrash(t *testing.T) {
 	f := newTestSet(t)
-	f.crashStart("1", f.startRuns("a"))
+	f.crashIncarnation("1", f.startRuns("a"))
 	f.clock = f.clock.Add(minDowntime / 2)
 	f.crashUnder("b", "1")
 	for _, v := range f.List() {
 		if !slices.Equal(v.Ends, []string{"1"}) {
-			t.Errorf("crashes %v, want only that of start 1", v.Ends)
+			t.Errorf("crashes %v, want only that of incarnation 1", v.Ends)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 func TestCrashesExplainedByTwoRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// beside maps each other request to the starts at which the bystander runs beside it.
+		// beside maps each other request to the incarnations at which the bystander runs beside it.
 		beside     map[string][]string
 		restricted bool
 	}{
@@ -39,9 +39,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newTestSet(t)
-			for name, starts := range tc.beside {
-				for _, start := range starts {
-					f.crashStart(start, f.startRuns(name, "bystander"))
+			for name, incarnations := range tc.beside {
+				for _, incarnation := range incarnations {
+					f.crashIncarnation(incarnation, f.startRuns(name, "bystander"))
 				}
 			}
 			f.clock = f.clock.Add(confirmTimeout)
@@ -79,9 +79,9 @@
 		sets = append(sets, s)
 	}
 	report := Word{Request: request("a"), Ends: map[string]time.Time{}}
-	for _, start := range []string{"1", "2", "3"} {
-		report.Ends[start] = clock
-		report.First = append(report.First, start)
+	for _, incarnation := range []string{"1", "2", "3"} {
+		report.Ends[incarnation] = clock
+		report.First = append(report.First, incarnation)
 	}
 	tried := map[int]int{}
 	for clock = clock.Add(peerReportTime); len(tried) < entries && clock.Before(report.Ends["1"].Add(time.Minute)); clock = clock.Add(100 * time.Millisecond) {
--- a/internal/quarantine/turn.go
+++ b/internal/quarantine/turn.go
@@ -9,7 +9,7 @@
 
 const (
 	// turnDuration is how long an entry's turn lasts to try a request that may be quarantined soon.
-	// turnActive is the part of the turn in which the entry may try it. The rest is a margin:
+	// turnActive is the part of the turn in which the entry may try it. The remainder is a margin:
 	// turns are counted from the latest crash, and some entries learn of it up to half a turn later
 	// than others.
 	turnDuration = time.Second
@@ -36,7 +36,7 @@
 func (s *Set) hasTurn(u *suspect) bool {
 	now := s.now()
 	names := []string{s.name}
-	for name, at := range s.lastHeard {
+	for name, at := range s.lastReportAt {
 		if now.Sub(at) < peerTTL {
 			names = append(names, name)
 		}
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// explained holds the starts at which a quarantined request ran when they crashed. These crashes
+// explained holds the incarnations at which a quarantined request ran when they crashed. These crashes
 // are no evidence against the other requests that ran there.
 type explained map[string]bool
 
 func (e explained) add(quarantined []*suspect) {
 	for _, u := range quarantined {
-		for _, start := range u.activeCrashes() {
-			e[start] = true
+		for _, incarnation := range u.activeCrashes() {
+			e[incarnation] = true
 		}
 	}
 }
 
 // unexplained returns the crashes of a request that no quarantined request explains.
 func (e explained) unexplained(u *suspect) []string {
-	return slices.DeleteFunc(u.activeCrashes(), func(start string) bool { return e[start] })
+	return slices.DeleteFunc(u.activeCrashes(), func(incarnation string) bool { return e[incarnation] })
 }
 
 // ambiguousThreshold is the number of crashes after which a request is quarantined although other
@@ -86,7 +86,7 @@
 type openCrashes map[*suspect][]string
 
 // nextToQuarantine returns the requests to quarantine next: the one with the strongest evidence, or
-// all those that can no longer be told apart.
+// all those that can no longer be distinguished.
 func (o openCrashes) nextToQuarantine() []*suspect {
 	var strongest *suspect
 	var ambiguous []*suspect
@@ -127,7 +127,7 @@
 // that it explains the crashes of the other.
 func (o openCrashes) covers(u, other *suspect) bool {
 	return len(o[u]) > len(o[other]) &&
-		!slices.ContainsFunc(o[other], func(start string) bool { return !slices.Contains(o[u], start) })
+		!slices.ContainsFunc(o[other], func(incarnation string) bool { return !slices.Contains(o[u], incarnation) })
 }
 
 // spontaneous returns the crashes, with their times, at which only requests ran that ran at no
@@ -135,12 +135,12 @@
 func (o openCrashes) spontaneous() map[string]time.Time {
 	out, shared := map[string]time.Time{}, map[string]bool{}
 	for u, crashes := range o {
-		for _, start := range crashes {
-			out[start] = u.crashes[start].at
-			shared[start] = shared[start] || len(crashes) > 1
+		for _, incarnation := range crashes {
+			out[incarnation] = u.crashes[incarnation].at
+			shared[incarnation] = shared[incarnation] || len(crashes) > 1
 		}
 	}
-	maps.DeleteFunc(out, func(start string, _ time.Time) bool { return shared[start] })
+	maps.DeleteFunc(out, func(incarnation string, _ time.Time) bool { return shared[incarnation] })
 	return out
 }
 
@@ -173,14 +173,14 @@
 // ignoreCovered, which applies while no other request seems to crash upstreams, requests that this
 // one covers are not considered.
 func (o openCrashes) distinctive(u *suspect, ignoreCovered bool) []string {
-	return slices.DeleteFunc(slices.Clone(o[u]), func(start string) bool {
-		c := u.crashes[start]
+	return slices.DeleteFunc(slices.Clone(o[u]), func(incarnation string) bool {
+		c := u.crashes[incarnation]
 		switch c.kind {
 		case ordinaryRun:
-			return !c.complete || o.anyOther(u, start, func(*suspect) bool { return true })
+			return !c.complete || o.anyOther(u, incarnation, func(*suspect) bool { return true })
 		case trialRun:
-			return !c.complete || o.anyOther(u, start, func(other *suspect) bool {
-				suspicious := other.crashes[start].kind == trialRun || len(o[other]) > 1
+			return !c.complete || o.anyOther(u, incarnation, func(other *suspect) bool {
+				suspicious := other.crashes[incarnation].kind == trialRun || len(o[other]) > 1
 				return suspicious && (!ignoreCovered || !o.covers(u, other))
 			})
 		default:
@@ -192,15 +192,15 @@
 // leadsAtAny reports whether there is one among the given crashes at which no other request ran
 // that has at least as many crashes as this one.
 func (o openCrashes) leadsAtAny(u *suspect, crashes []string) bool {
-	return slices.ContainsFunc(crashes, func(start string) bool {
-		return !o.anyOther(u, start, func(other *suspect) bool { return len(o[other]) >= len(o[u]) })
+	return slices.ContainsFunc(crashes, func(incarnation string) bool {
+		return !o.anyOther(u, incarnation, func(other *suspect) bool { return len(o[other]) >= len(o[u]) })
 	})
 }
 
 // anyOther reports whether another request that ran at a crash matches.
-func (o openCrashes) anyOther(u *suspect, start string, match func(other *suspect) bool) bool {
+func (o openCrashes) anyOther(u *suspect, incarnation string, match func(other *suspect) bool) bool {
 	for other, crashes := range o {
-		if other != u && slices.Contains(crashes, start) && match(other) {
+		if other != u && slices.Contains(crashes, incarnation) && match(other) {
 			return true
 		}
 	}
--- a/internal/quarantine/verdict_test.go
+++ b/internal/quarantine/verdict_test.go
@@ -11,7 +11,7 @@
 func named(letter string) Fingerprint { return FingerprintOf("", "", letter, "", nil) }
 
 // TestAttribution covers which requests are quarantined. Each case maps requests to the upstream
-// starts that crashed while they ran there; "!" marks a crash after which the request was served.
+// incarnations that crashed while they ran there; "!" marks a crash after which the request was served.
 func TestAttribution(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -39,10 +39,10 @@
 			for name, crashes := range tc.crashes {
 				u := newSuspect(named(name))
 				for crash := range strings.FieldsSeq(crashes) {
-					start := strings.TrimSuffix(crash, "!")
-					u.addCrash(start, now, true)
-					if start != crash {
-						u.voidCrash(start, now)
+					incarnation := strings.TrimSuffix(crash, "!")
+					u.addCrash(incarnation, now, true)
+					if incarnation != crash {
+						u.voidCrash(incarnation, now)
 					}
 				}
 				suspects[u.fingerprint], names[u.fingerprint] = u, name
--- a/internal/quarantine/word.go
+++ b/internal/quarantine/word.go
@@ -8,7 +8,7 @@
 const (
 	// gossipTTL is how long this entry reports a crash that it saw if the request has only that
 	// one. It allows for several messages to each peer, even if a peer is frozen for seconds.
-	// Requests with more crashes are reported by all entries for as long as they know them, so that
+	// Requests with more crashes are reported by all entries for as long as they keep them, so that
 	// new entries learn of them.
 	gossipTTL = 10 * time.Second
 	// gossipByAllThreshold is the number of crashes from which on all entries report a request.
@@ -23,13 +23,13 @@
 // repeatedly and late.
 type Word struct {
 	Request
-	// Ends maps the starts that crashed under the request to the time of the crash.
+	// Ends maps the incarnations that crashed under the request to the time of the crash.
 	Ends map[string]time.Time
-	// First lists the crashed starts at which the request's run had begun before it was a suspect,
+	// First lists the crashed incarnations at which the request's run had begun before it was a suspect,
 	// and Tried those at which it ran as a suspect.
 	First []string
 	Tried []string
-	// Void lists the starts whose crashes no longer count against the request.
+	// Void lists the incarnations whose crashes no longer count against the request.
 	Void []string
 	// Runs is set if the reporting entry runs the request. At is the upstream that runs it, if it
 	// was a suspect when it was sent there.
@@ -37,12 +37,12 @@
 	At   string
 }
 
-// kind returns how the request ran at a start.
-func (w *Word) kind(start string) runKind {
+// kind returns how the request ran at an incarnation.
+func (w *Word) kind(incarnation string) runKind {
 	switch {
-	case slices.Contains(w.First, start):
+	case slices.Contains(w.First, incarnation):
 		return ordinaryRun
-	case slices.Contains(w.Tried, start):
+	case slices.Contains(w.Tried, incarnation):
 		return trialRun
 	default:
 		return unknownRun
@@ -74,7 +74,7 @@
 // runsHere reports whether this entry runs a suspect. The caller must hold the lock.
 func (s *Set) runsHere(u *suspect) bool { return s.running[u.fingerprint] > 0 && s.restricted(u) }
 
-// shouldReport reports whether other entries are to be told about a request. The caller must hold
+// shouldReport reports whether other entries should be informed about a request. The caller must hold
 // the lock.
 func (s *Set) shouldReport(u *suspect) bool {
 	if len(u.activeCrashes()) >= gossipByAllThreshold {
@@ -112,17 +112,17 @@
 		}
 	}
 	reportAll := len(u.activeCrashes()) >= gossipByAllThreshold
-	for start, c := range u.crashes {
+	for incarnation, c := range u.crashes {
 		switch {
 		case c.voided() && s.shouldReportCrash(c):
-			w.Void = append(w.Void, start)
+			w.Void = append(w.Void, incarnation)
 		case !c.voided() && (reportAll || s.shouldReportCrash(c)):
-			w.Ends[start] = c.at
+			w.Ends[incarnation] = c.at
 			switch c.kind {
 			case ordinaryRun:
-				w.First = append(w.First, start)
+				w.First = append(w.First, incarnation)
 			case trialRun:
-				w.Tried = append(w.Tried, start)
+				w.Tried = append(w.Tried, incarnation)
 			case unknownRun:
 			}
 		}
@@ -155,9 +155,9 @@
 	for _, u := range quarantined[:min(len(quarantined), maxSaved)] {
 		w := s.report(u)
 		w.Void, w.First, w.Tried, w.Runs, w.At = nil, nil, nil, false, ""
-		for start := range w.Ends {
+		for incarnation := range w.Ends {
 			if len(w.Ends) > maxSavedCrashes {
-				delete(w.Ends, start)
+				delete(w.Ends, incarnation)
 			}
 		}
 		out = append(out, w)
@@ -190,7 +190,7 @@
 func (s *Set) Hear(entry string, reports []Word) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastHeard[entry] = s.now()
+	s.lastReportAt[entry] = s.now()
 	runs, changed := map[Fingerprint]bool{}, false
 	var upstreams []string
 	for _, w := range reports {
@@ -223,15 +223,15 @@
 		return false
 	}
 	u := s.getOrAdd(w.Request)
-	for start, at := range w.Ends {
-		if u.addCrash(start, at, false) {
+	for incarnation, at := range w.Ends {
+		if u.addCrash(incarnation, at, false) {
 			changed = true
-			s.voidIfServed(u, start)
+			s.voidIfServed(u, incarnation)
 		}
-		changed = u.setRunKind(start, w.kind(start)) || changed
+		changed = u.setRunKind(incarnation, w.kind(incarnation)) || changed
 	}
-	for _, start := range w.Void {
-		changed = u.voidCrash(start, s.now()) || changed
+	for _, incarnation := range w.Void {
+		changed = u.voidCrash(incarnation, s.now()) || changed
 	}
 	if u.expired(s.now()) {
 		// Other entries may remember it a little longer.
--- a/internal/quarantine/word_test.go
+++ b/internal/quarantine/word_test.go
@@ -65,7 +65,7 @@
 }
 
 // TestReportsMergeInAnyOrder lets entries see crashes and complete responses and exchange reports
-// late, repeatedly and in any order. Once all reports have arrived, all entries must know the same
+// late, repeatedly and in any order. Once all reports have arrived, all entries must have the same
 // crashes, and only requests with three crashes since they were last served may be quarantined.
 func TestReportsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -128,7 +128,7 @@
 			"": func(*rapid.T) {},
 		})
 		// Some crashes and responses may be in a single message. Deliver all pending messages, then
-		// let all entries report what they know by now.
+		// let all entries report what they have recorded by now.
 		for range len(entries) {
 			for _, m := range pending {
 				entries[m.to].Hear(strconv.Itoa(m.from), m.reports)
@@ -142,7 +142,7 @@
 			want := activeCrashesOf(entries[0], name)
 			for i, e := range entries {
 				if got := activeCrashesOf(e, name); !maps.Equal(got, want) {
-					t.Fatalf("entry %d knows the crashes %v of %s, entry 0 %v", i, got, name, want)
+					t.Fatalf("entry %d has the crashes %v of %s, entry 0 %v", i, got, name, want)
 				}
 				u, known := e.suspects[named(name)]
 				if known && !u.quarantinedAt.IsZero() && len(u.activeCrashes()) < quarantineThreshold {
@@ -153,14 +153,14 @@
 	})
 }
 
-// BenchmarkHear merges a message without news that has the maximum number of requests.
+// BenchmarkHear merges a message without changes that has the maximum number of requests.
 func BenchmarkHear(b *testing.B) {
 	s := New(events.Nop(), time.Now, func() {})
 	for i := range maxReports {
 		run := &Run{set: s, request: request(strconv.Itoa(i))}
-		for _, start := range []string{"1", "2", "3"} {
-			run.Broke(start + strconv.Itoa(i))
-			s.Ended(start + strconv.Itoa(i))
+		for _, incarnation := range []string{"1", "2", "3"} {
+			run.Broke(incarnation + strconv.Itoa(i))
+			s.Ended(incarnation + strconv.Itoa(i))
 		}
 	}
 	reports := s.Tell()
@@ -172,8 +172,8 @@
 func activeCrashesOf(s *Set, name string) map[string]bool {
 	out := map[string]bool{}
 	if u, ok := s.suspects[named(name)]; ok {
-		for _, start := range u.activeCrashes() {
-			out[start] = true
+		for _, incarnation := range u.activeCrashes() {
+			out[incarnation] = true
 		}
 	}
 	return out
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -174,20 +174,20 @@
 mutant held-stood-out $held/verdict.go 's/case o\.leadsAtAny\(u, distinctive\):/case true:/' $held TestAttribution
 mutant held-explained $held/verdict.go 's/open\[u\] = e\.unexplained\(u\)/open[u] = u.activeCrashes()/' $held TestAttribution
 mutant held-telling $held/verdict.go 's/case len\(distinctive\) < needed:/case len(distinctive)+needed < 0:/' $held 'TestHarmlessRequestBesideTwoPoisonRequests|TestSoundRequestsBesideSeveral'
-mutant held-first-run $held/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, start, func\(\*suspect\) bool \{ return true \}\)/return false/' $held TestHarmlessRequestBesideTwoPoisonRequests
+mutant held-first-run $held/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, incarnation, func\(\*suspect\) bool \{ return true \}\)/return false/' $held TestHarmlessRequestBesideTwoPoisonRequests
 mutant held-stray $held/verdict.go 's/if n > maxSpontaneous \{/if n < 0 {/; s/\t\tif latest\.Sub/\t\tif n >= 0 \&\& latest.Sub/' $held 'TestSoundRequestsBesideSeveralCulprits/.*rolling_150ms' -rig.seeds=20
-mutant held-later-start $held/laterstart.go 's/for n := 1; s\.crashedBefore/for n := 1; n < 0 \&\& s.crashedBefore/' $held TestLaterStart
+mutant held-later-start $held/laterstart.go 's/for n := 1; s\.crashedBefore/for n := 1; n < 0 \&\& s.crashedBefore/' $held TestLaterIncarnation
 mutant held-later-crossed $held/laterstart.go 's/sentAt\.Add\(-minDowntime\)/sentAt.Add(minDowntime)/' $held TestRequestSentRightAfterCrash
 mutant held-explained-by-one $held/set.go 's/if s\.explainedByOne\(u\) \{\n\t\treturn u\.unconfirmed\(\)\n\t\}/if len(s.explained.unexplained(u)) == 0 {\n\t\treturn u.unconfirmed()\n\t}/' $held TestCrashesExplainedByTwoRequests
 mutant held-turn $held/turn.go 's/return slices\.Index\(names, s\.name\)%groups == int\(since\/turnDuration\)%groups/return groups > 0/' $held TestEntriesTakeTurns
 mutant held-apart $gateway/crashing.go 's/if rq\.run\.Isolation\(\) != quarantine\.Apart \{/if true {/' $gateway TestSuspectsAreIsolated
 mutant held-most-there $gateway/crashing.go 's/if !quarantine\.MostThere\(available, len\(list\)\) \{/if available < 0 {/' $gateway TestSuspectsAreIsolated
 mutant held-trials-told $held/word.go 's/\t\t\tw\.At = upstream\n/\t\t\t_ = upstream\n/' $held TestTrialsAreGossiped
-mutant held-runs-told $held/word.go 's/u\.setRunKind\(start, w\.kind\(start\)\)/u.setRunKind(start, unknownRun)/' $held TestTrialsAreGossiped
+mutant held-runs-told $held/word.go 's/u\.setRunKind\(incarnation, w\.kind\(incarnation\)\)/u.setRunKind(incarnation, unknownRun)/' $held TestTrialsAreGossiped
 mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsAreIsolated
 mutant held-entry-apart internal/entry/crashing.go 's/case isolation != quarantine\.Apart:/case true:/' internal/entry TestIsolate
 mutant held-entry-down internal/sidecar/starts.go 's/sentWhileUp := !u\.down \|\| !u\.downAt\.Before\(sentAt\)/sentWhileUp := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
-mutant held-void-told $held/word.go 's/\t\t\tw\.Void = append\(w\.Void, start\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
+mutant held-void-told $held/word.go 's/\t\t\tw\.Void = append\(w\.Void, incarnation\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
 mutant held-told-anew $held/word.go 's/\tif len\(u\.activeCrashes\(\)\) >= gossipByAllThreshold \{\n\t\treturn true\n\t\}\n//' $held TestNewEntryLearnsFromGossip
 mutant held-bounded $held/set.go 's/\t\ts\.evictIfFull\(\)\n//' $held TestSuspectsAreBounded
 mutant held-ends-bounded $held/suspect.go 's/if len\(u\.crashes\) >= maxCrashes \{/if false {/' $held TestCrashesOfOneRequestAreBounded
@@ -335,7 +335,7 @@
 
 mutant held-covered internal/quarantine/verdict.go 's/return o\.withoutCovered\(ambiguous\)/return ambiguous/' $held TestHarmlessRequestCovered
 mutant held-covered-alone internal/quarantine/verdict.go 's/ \|\| len\(crashes\) == 0//' $held TestHarmlessRequestCovered
-mutant held-told internal/quarantine/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, start, func\(other \*suspect\) bool \{\n/return o.anyOther(u, start, func(other *suspect) bool {\n/' $held TestNoQuarantineBefore
+mutant held-told internal/quarantine/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, incarnation, func\(other \*suspect\) bool \{\n/return o.anyOther(u, incarnation, func(other *suspect) bool {\n/' $held TestNoQuarantineBefore
 mutant held-peers internal/quarantine/suspect.go 's/within = peerReportTime/within = 0/' $held TestNoQuarantineBefore
 mutant held-bystanders internal/quarantine/verdict.go 's/len\(crashes\) > 1 && !o\.covers\(u, other\)/len(crashes) > 1/' $held TestBystandersDoNotDelay
 
