--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// markFaulty marks an engine as faulty and tells the other entries without delay.
+// markFaulty marks an engine as faulty and informs the other entries without delay.
 func (g *Gateway) markFaulty(upstream string) {
 	g.fleet.Note(upstream, fleet.Faulty)
 	g.peers.Urge()
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -95,7 +95,7 @@
 	results chan result
 	// failed lists the upstreams that answered with a server error and did not ask to back off.
 	failed []string
-	// limited is the error of the latest choice if rate limits or back-off left no upstream.
+	// limited is the error of the latest choice if rate limits or backoff left no upstream.
 	limited error
 }
 
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -12,8 +12,8 @@
 
 const (
 	// startShare is the fraction of the objective within which a generation has to be expected to
-	// start. The rest is a margin for prompts of other entries that this entry has not learned of
-	// yet.
+	// start. The remainder is a margin for prompts of other entries that this entry has not
+	// learned of yet.
 	startShare = 0.8
 	// maxSampledEngines limits the engines that one decision examines. They are sampled anew each
 	// time. Only if none of them has room are all engines examined. With a larger sample, a
@@ -31,7 +31,7 @@
 }
 
 // candidates returns the upstreams in list and their known load, without those in exclude and
-// those in back-off.
+// those in backoff.
 func (g *Gateway) candidates(list []fleet.Upstream, exclude map[string]bool, now time.Time) []placement.Candidate {
 	trials := g.quarantine.Trials()
 	out := make([]placement.Candidate, 0, len(list))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,7 +93,7 @@
 	// overloads holds the overload state of each service.
 	overloads map[string]*placement.Overload
 	// retryTimes staggers the retries of callers that were refused while all upstreams of their
-	// service were in back-off.
+	// service were in backoff.
 	retryTimes placement.Returns
 	// queriedAt holds the time at which each engine was last queried for its state.
 	queriedAt map[string]time.Time
@@ -147,12 +147,12 @@
 	}
 }
 
-// peersWait is how long after its start an entry stays unready while it does not know the
+// peersWait is how long after its start an entry stays unready while it has not learned of the
 // other entries. It allows a few attempts to read the list of entries while the store is slow.
 const peersWait = 5 * time.Second
 
-// peersKnown reports whether this entry knows which other entries serve, or has waited
-// peersWait for that. An entry that does not know them decides alone which requests are poison
+// peersKnown reports whether this entry has learned which other entries serve, or has waited
+// peersWait for that. An entry without that list decides alone which requests are poison
 // and uses the whole of the retry budgets that all entries share, so callers should be sent to the
 // other entries until then.
 func (g *Gateway) peersKnown() bool {
@@ -259,9 +259,9 @@
 
 // PeerRetryUse records another entry's use of the retry budgets, and when that entry last
 // received a message from this one.
-func (g *Gateway) PeerRetryUse(name string, uses map[string]routing.Use, lastHeardUs time.Time) {
+func (g *Gateway) PeerRetryUse(name string, uses map[string]routing.Use, lastReceived time.Time) {
 	for service, u := range uses {
-		g.budget(service).HeardBy(name, u, lastHeardUs)
+		g.budget(service).HeardBy(name, u, lastReceived)
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,8 +37,8 @@
 	check("the list has two", 2)
 }
 
-// TestReadyOnceOtherEntriesAreKnown guards against an entry that reports ready before it knows
-// any other entry. Three entries that learned of each other 3 to 4 s after their start each
+// TestReadyOnceOtherEntriesAreKnown guards against an entry that reports ready before it has learned
+// of any other entry. Three entries that learned of each other 3 to 4 s after their start each
 // tracked a poison request alone, and it crashed six upstreams.
 func TestReadyOnceOtherEntriesAreKnown(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -188,7 +188,7 @@
 }
 
 // When the target of a copy restarts during the copy, the copy is lost. The generation must not be
-// stopped for it. The later incarnation must not be told to release it, because it may hold a copy
+// stopped for it. The later incarnation must not get a command to release it, because it may hold a copy
 // for another entry under the same handle.
 func TestCopyToAnEndedIncarnation(t *testing.T) {
 	f := newFixture(t)
--- a/internal/gateway/inquire.go
+++ b/internal/gateway/inquire.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// queryIfDue queries an engine unless it is in back-off or was queried within queryInterval.
+// queryIfDue queries an engine unless it is in backoff or was queried within queryInterval.
 func (g *Gateway) queryIfDue(ctx context.Context, u fleet.Upstream, why string) {
 	if u, known := g.fleet.Get(u.ID); !known || u.InBackOff(g.now()) || !g.queryDue(u.ID) {
 		return
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -51,5 +51,5 @@
 // Limits returns the rate limits of upstreams.
 func (g *Gateway) Limits() *limits.Set { return g.limits }
 
-// SweepLimits drops the limits of upstreams that are gone.
+// SweepLimits drops the limits of upstream incarnations that no longer exist.
 func (g *Gateway) SweepLimits() { g.limits.Sweep(g.incarnationKnown) }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -267,8 +267,8 @@
 // the copy after a few seconds.
 const releaseTimeout = time.Second
 
-// release tells an engine to drop a copy that will not be used, which occupies memory and a
-// slot there. If the engine's incarnation has ended, the copy is gone and nothing is sent: the
+// release commands an engine to drop a copy that will not be used, which occupies memory and a
+// slot there. If the engine's incarnation has ended, the copy is lost and nothing is sent: the
 // next incarnation may hold another copy under the same handle.
 func (g *Gateway) release(callID string, held heldCopy) {
 	if !g.incarnationKnown(held.at.ID) {
@@ -309,7 +309,7 @@
 	for {
 		if !g.incarnationKnown(from.ID) {
 			// The generation was lost with its engine's incarnation. The next incarnation
-			// may run it again and must not be told to stop it.
+			// may run it again and must not get a command to stop it.
 			return protocol.CopyResult{Outcome: protocol.NoSuchRun}
 		}
 		r, err := g.sendCommand(ctx, from, g.proto.Copy(s.rq.call.ID, target.Address, stop))
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -11,7 +11,7 @@
 )
 
 // exchange sends one request to an upstream and applies what the headers of the answer state
-// about the upstream itself: that it leaves, asks for back-off or limits its request rate. All
+// about the upstream itself: that it leaves, asks for backoff or limits its request rate. All
 // requests of this entry to upstreams go through exchange, so that none of this is missed.
 func (g *Gateway) exchange(ctx context.Context, to fleet.Upstream, req link.Request) (*link.Answer, error) {
 	a, err := g.link.Do(ctx, to.Address, req)
@@ -43,12 +43,12 @@
 	}
 }
 
-// asksBackOff reports whether an answer asks for back-off from its upstream.
+// asksBackOff reports whether an answer asks for backoff from its upstream.
 func (g *Gateway) asksBackOff(status int, header http.Header) bool {
 	return !g.proto.Notice(status, header, g.now()).BackOffUntil.IsZero()
 }
 
-// acceptsRequests reports whether an upstream is known, not leaving and not in back-off.
+// acceptsRequests reports whether an upstream is known, not leaving and not in backoff.
 func (g *Gateway) acceptsRequests(id string) bool {
 	u, known := g.fleet.Get(id)
 	return known && u.State() != fleet.Leaving && !u.InBackOff(g.now())
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -63,7 +63,7 @@
 				t.Errorf("the leaving upstream got %d requests, want 1", n)
 			}
 			if known := f.fleet.KnownLeaving(); len(known) != 1 || known[0] != "leaving" {
-				t.Errorf("other entries are told that %v leave, want only the leaving upstream", known)
+				t.Errorf("other entries are informed that %v leave, want only the leaving upstream", known)
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 	<-done
 }
 
-// An upstream in back-off must get no requests until the back-off ends. The back-off here is longer
+// An upstream in backoff must get no requests until the backoff ends. The backoff here is longer
 // than the 2 s for which an upstream that refuses requests is otherwise avoided at most; after
 // those, one successful answer would bring all requests back to it.
 func TestUpstreamInBackOffGetsNoRequests(t *testing.T) {
@@ -134,21 +134,21 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			if n := backedOff.runs() - 1; n != 0 {
-				t.Errorf("the upstream got %d requests during its back-off, want none", n)
+				t.Errorf("the upstream got %d requests during its backoff, want none", n)
 			}
 			for time.Since(asked) < backOff+time.Second {
 				f.ask(pathOnce)
 				time.Sleep(5 * time.Millisecond)
 			}
 			if backedOff.runs() == 1 {
-				t.Error("the upstream got no request within a second after its back-off")
+				t.Error("the upstream got no request within a second after its backoff")
 			}
 		})
 	}
 }
 
-// While all upstreams of a service are in back-off, none of them may get requests. Callers are
-// refused at once and told to retry after the first back-off has ended, spread over time.
+// While all upstreams of a service are in backoff, none of them may get requests. Callers are
+// refused at once and asked to retry after the first backoff has ended, spread over time.
 func TestAllUpstreamsInBackOff(t *testing.T) {
 	f := newFixture(t)
 	var upstreams []*upstream
@@ -170,13 +170,13 @@
 		back := begun.Add(time.Duration(ms) * time.Millisecond)
 		// The header states whole milliseconds, rounded down.
 		if least, most := first.Add(1500*time.Millisecond), asked.Add(1600*time.Millisecond+placement.ReturnWithin); err != nil || back.Before(least.Add(-100*time.Millisecond)) || back.After(most) {
-			t.Fatalf("retry is due %s after the first back-off, want it spread from its end on", back.Sub(least))
+			t.Fatalf("retry is due %s after the first backoff, want it spread from its end on", back.Sub(least))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	for _, u := range upstreams {
 		if n := u.runs(); n > 2 {
-			t.Errorf("%s got %d requests during its back-off, want at most 1", u.id, n-1)
+			t.Errorf("%s got %d requests during its backoff, want at most 1", u.id, n-1)
 		}
 	}
 }
@@ -200,7 +200,7 @@
 	}
 }
 
-// An engine in back-off must get no generations; engines are chosen by other code than plain
+// An engine in backoff must get no generations; engines are chosen by other code than plain
 // upstreams. Generations go to another engine, or are refused at once if there is none.
 func TestEngineInBackOffGetsNoGenerations(t *testing.T) {
 	for _, tc := range []struct {
@@ -230,13 +230,13 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if n := backedOff.runs() - 1; n != 0 {
-				t.Errorf("the engine got %d generations during its back-off, want none", n)
+				t.Errorf("the engine got %d generations during its backoff, want none", n)
 			}
 		})
 	}
 }
 
-// The hedge of a slow request must not go to an upstream in back-off.
+// The hedge of a slow request must not go to an upstream in backoff.
 func TestUpstreamInBackOffGetsNoHedge(t *testing.T) {
 	f := newFixture(t)
 	backedOff := f.add("app", "backed-off", withHeaders(serveNotRun, testRetryMs, "2000"))
@@ -253,12 +253,12 @@
 		}
 	}
 	if n := backedOff.runs(); n != 1 {
-		t.Errorf("the upstream got %d requests during its back-off, want none", n-1)
+		t.Errorf("the upstream got %d requests during its backoff, want none", n-1)
 	}
 }
 
-// A successful answer to a request that was in flight when the upstream asked for back-off must
-// not end the back-off.
+// A successful answer to a request that was in flight when the upstream asked for backoff must
+// not end the backoff.
 func TestAnswerInFlightDoesNotEndBackOff(t *testing.T) {
 	f := newFixture(t)
 	var requests atomic.Int64
@@ -286,7 +286,7 @@
 		f.ask(pathOnce)
 	}
 	if n := backedOff.runs(); n != 2 {
-		t.Errorf("the upstream got %d requests during its back-off, want none", n-2)
+		t.Errorf("the upstream got %d requests during its backoff, want none", n-2)
 	}
 }
 
@@ -304,7 +304,7 @@
 }
 
 // An attempt whose request is answered by another attempt, or whose caller disconnects, must not be
-// abandoned before its answer arrives: the answer may ask for back-off or announce leaving.
+// abandoned before its answer arrives: the answer may ask for backoff or announce leaving.
 func TestNoticeInAnswerOfLosingAttemptIsApplied(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -321,7 +321,7 @@
 			f := newFixture(t)
 			secondBegun := make(chan struct{}, 2)
 			// The upstream that gets the first attempt answers after the second attempt has begun.
-			// The other upstream asks for back-off a little later.
+			// The other upstream asks for backoff a little later.
 			var first atomic.Bool
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				if !first.Swap(true) {
@@ -339,7 +339,7 @@
 			f.ask(pathSafe, func(r *http.Request) { tc.change(f, r) })
 			for begun := time.Now(); !f.fleet.AnyBackOff(); time.Sleep(time.Millisecond) {
 				if time.Since(begun) > time.Second {
-					t.Fatal("the back-off that the upstream asked for was not applied")
+					t.Fatal("the backoff that the upstream asked for was not applied")
 				}
 			}
 		})
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -16,7 +16,7 @@
 // that it states.
 var errLimited = errors.New("the upstreams take no more requests now")
 
-// errBackOff means that every upstream that could take the request is in back-off.
+// errBackOff means that every upstream that could take the request is in backoff.
 var errBackOff = fmt.Errorf("%w: they asked to back off", errLimited)
 
 const (
@@ -32,7 +32,7 @@
 type chooser func(exclude map[string]bool) (fleet.Upstream, error)
 
 // chooseWithPermit returns the upstream that choose returns, with a permit to send one request to
-// it. Upstreams that have reached their rate limit or are in back-off are skipped: they do not
+// it. Upstreams that have reached their rate limit or are in backoff are skipped: they do not
 // count as failing, and they should not receive requests that they would refuse. If no other
 // upstream can take the request, chooseWithPermit waits for one of these, at most until the given
 // time; a zero time is for a request that cannot wait. The error is that of choose, or errLimited.
@@ -83,9 +83,9 @@
 	}
 }
 
-// awaitPermit waits for a permit for one upstream and for the end of its back-off, at most until
+// awaitPermit waits for a permit for one upstream and for the end of its backoff, at most until
 // the given time. No other upstream can take the request, so awaitPermit may use the one request
-// that each back-off allows.
+// that each backoff allows.
 func (g *Gateway) awaitPermit(ctx context.Context, upstream string, until time.Time) error {
 	for !g.fleet.TakeDuringBackOff(upstream) {
 		u, known := g.fleet.Get(upstream)
@@ -136,7 +136,7 @@
 }
 
 // allInBackOff reports whether a service has upstreams that are not excluded and all of them are
-// in back-off.
+// in backoff.
 func (g *Gateway) allInBackOff(service string, exclude map[string]bool) bool {
 	if !g.fleet.AnyBackOff() {
 		return false
@@ -155,7 +155,7 @@
 }
 
 // nextOpening returns the earliest time at which an upstream of a service takes a request again,
-// among those that are limited or in back-off and not excluded. It is zero if there is none.
+// among those that are limited or in backoff and not excluded. It is zero if there is none.
 func (g *Gateway) nextOpening(service string, exclude map[string]bool) time.Time {
 	var earliest time.Time
 	for _, u := range g.fleet.Of(service) {
--- a/internal/gateway/prefixes_test.go
+++ b/internal/gateway/prefixes_test.go
@@ -37,7 +37,7 @@
 }
 
 // Callers that invent prompt parts must not make this entry's memory grow without bound, and
-// engines that are gone must be forgotten.
+// engines that no longer exist must be dropped.
 func TestPrefixesAreBounded(t *testing.T) {
 	p := newPrefixes()
 	for i := range 10 * maxPrefixes {
@@ -53,7 +53,7 @@
 	p.note("e", []protocol.PromptPart{{ID: "a", Tokens: 1}}, time.Now())
 	p.sweep(func(string) bool { return false }, time.Now())
 	if len(p.lastSent) != 0 {
-		t.Error("an engine that is gone is still recorded")
+		t.Error("an engine that no longer exists is still recorded")
 	}
 }
 
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -36,7 +36,7 @@
 			}
 		}
 		if err := s.writeEvents(b); err != nil {
-			g.callerGone(s.rq, "getting events", err)
+			g.callerDisconnected(s.rq, "getting events", err)
 			panic(http.ErrAbortHandler)
 		}
 		s.advance(id, n)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -122,8 +122,8 @@
 	g.rec.Note(events.HandlerPanicked, rq.call.ID, "panic", v, "stack", string(stack[:min(len(stack), maxStackBytes)]))
 }
 
-// callerGone records that a caller's connection ended; while states what was being done.
-func (g *Gateway) callerGone(rq *request, while string, err error) {
+// callerDisconnected records that a caller's connection ended; while states what was being done.
+func (g *Gateway) callerDisconnected(rq *request, while string, err error) {
 	cause := unansweredCallerClosed
 	if rq.conn.EndedHere() != "" {
 		cause = unansweredClosedHere
@@ -241,7 +241,7 @@
 		g.refuse(rq, http.StatusRequestEntityTooLarge, "body is too large", 0)
 		return false
 	case err != nil:
-		g.callerGone(rq, "sending the body", err)
+		g.callerDisconnected(rq, "sending the body", err)
 		panic(http.ErrAbortHandler)
 	}
 	rq.body = body
@@ -306,7 +306,7 @@
 		g.refuse(rq, status, reason, retryAfter)
 		return
 	}
-	g.callerGone(rq, "waiting", rq.caller.Err())
+	g.callerDisconnected(rq, "waiting", rq.caller.Err())
 	// A caller that closed only its sending side still waits for an answer.
 	g.proto.Refuse(rq.w, &rq.call, protocol.Refusal{Status: status, Reason: reason}, g.now())
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -45,7 +45,7 @@
 }
 
 // A caller that closes only its sending side must get an answer. net/http cannot tell such a
-// caller from one that is gone until something is written, and an unread answer does no harm.
+// caller from one that has disconnected until something is written, and an unread answer does no harm.
 func TestCallerThatOnlyStopsSendingGetsAnAnswer(t *testing.T) {
 	f := newFixture(t)
 	begun := make(chan struct{}, 1)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -89,7 +89,7 @@
 	g.inFlight.Add(-1)
 }
 
-// plannedStops summarizes which entries serve and which stop, as far as gossip tells.
+// plannedStops summarizes which entries serve and which stop, as far as gossip reports.
 type plannedStops struct {
 	// sameZoneServes is set if another entry of this zone serves, anyServes if any other
 	// entry serves.
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestRetryDelayAfterStop covers the retry delay that a stopping entry tells callers.
+// TestRetryDelayAfterStop covers the retry delay that a stopping entry gives callers.
 func TestRetryDelayAfterStop(t *testing.T) {
 	const own = 6 * time.Second
 	now := time.Now()
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -404,7 +404,7 @@
 		t.Errorf("the engine is marked as faulty: %v, want %v", got, faulty)
 	}
 	if got := len(f.fleet.Faults()); (got == 1) != faulty {
-		t.Errorf("other entries are told of %d faults", got)
+		t.Errorf("other entries are informed of %d faults", got)
 	}
 }
 
@@ -451,11 +451,11 @@
 	// The gateway acts on the report within a few instructions after it logs it.
 	time.Sleep(20 * time.Millisecond)
 	if got := len(f.fleet.Faults()); got != 0 {
-		t.Errorf("other entries are told of %d faults", got)
+		t.Errorf("other entries are informed of %d faults", got)
 	}
 }
 
-// Targets of moves are drawn at random, so that entries that know the same loads do not all send
+// Targets of moves are drawn at random, so that entries that have the same loads do not all send
 // their copies to the same engine.
 func TestTargetsOfMovesAreSpread(t *testing.T) {
 	testTargetsAreSpread(t, func(i int) gossip.Load { return gossip.Load{Running: 1, Tokens: 1000 * i, Held: 1000 * i} })
