--- a/internal/directory/begin.go
+++ b/internal/directory/begin.go
@@ -7,11 +7,11 @@
 )
 
 // join reads the list of entries and writes this entry's row, and retries each call until it
-// succeeds. The retry delays are short, because an entry that does not know the others identifies
+// succeeds. The retry delays are short, because an entry without a list of the others identifies
 // poison requests by its own observations only, and takes the whole of what all entries share, such
 // as retry budgets.
 //
-// An entry that finds others contacts them, and entries in contact tell each other of the rest. Its
+// An entry that finds others contacts them, and entries in contact inform each other of further entries. Its
 // row is therefore not urgent and is written after a random delay: the store accepts only a few
 // hundred rows a second, and would refuse rows of hundreds of entries that start together. An entry
 // that finds no other writes its row at once and reads the list again.
@@ -42,7 +42,7 @@
 
 // readAgainIfAlone is for an entry that found no other one, because others may have read the list
 // at the same moment. It reads the list again after a random delay. If another entry makes contact
-// during the delay, it only waits for that entry to tell it of the rest.
+// during the delay, it only waits for that entry to inform it of further entries.
 func (d *Directory) readAgainIfAlone(ctx context.Context) {
 	d.awaitContact(ctx, randomUpTo(d.settings.AloneWithin))
 	if d.others.Heard() == 0 {
--- a/internal/directory/begin_test.go
+++ b/internal/directory/begin_test.go
@@ -11,7 +11,7 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// TestFailedFirstReadsAreRetriedSoon guards against an entry that does not know the others for 5 to
+// TestFailedFirstReadsAreRetriedSoon guards against an entry that does not learn of the others for 5 to
 // 15 s after its start, because a failed first read is only repeated at the next regular one.
 func TestFailedFirstReadsAreRetriedSoon(t *testing.T) {
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
@@ -27,7 +27,7 @@
 	}
 	found := make(chan map[string]roster.Entry, 4)
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Hour, CallWithin: time.Second},
-		fake, othersNeverHeard(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
+		fake, withoutContact(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
 	go d.Run(t.Context())
 	select {
 	case a := <-found:
--- a/internal/directory/carried_test.go
+++ b/internal/directory/carried_test.go
@@ -10,8 +10,8 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// othersNeverHeard returns the callbacks of an entry that never gets a message from another one.
-func othersNeverHeard(found func(map[string]roster.Entry)) Others {
+// withoutContact returns the callbacks of an entry that never gets a message from another one.
+func withoutContact(found func(map[string]roster.Entry)) Others {
 	return Others{Found: found, Heard: func() int { return 0 }, Known: func() {}}
 }
 
@@ -31,16 +31,16 @@
 		}
 		store.rows[name] = b
 	}
-	heard, writes := map[string]time.Duration{}, make(chan []byte)
+	ages, writes := map[string]time.Duration{}, make(chan []byte)
 	carried := Carried{
 		Value: func() []byte { return []byte("all") },
-		Heard: func(_ string, value []byte, age time.Duration) { heard[string(value)] = age },
+		Heard: func(_ string, value []byte, age time.Duration) { ages[string(value)] = age },
 	}
 	fake := store.platformStore()
 	put := fake.Put
 	fake.Put = func(ctx context.Context, table, name string, value []byte) error {
-		if heard["of me"] != 2*time.Second || heard["of gone"] != 3*time.Second {
-			t.Errorf("heard %v before the first write", heard)
+		if ages["of me"] != 2*time.Second || ages["of gone"] != 3*time.Second {
+			t.Errorf("ages %v before the first write", ages)
 		}
 		select {
 		case writes <- value:
@@ -49,7 +49,7 @@
 		return put(ctx, table, name, value)
 	}
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, CallWithin: time.Second},
-		fake, othersNeverHeard(func(map[string]roster.Entry) {}), carried, events.Nop(), time.Now)
+		fake, withoutContact(func(map[string]roster.Entry) {}), carried, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -28,7 +28,7 @@
 	// each one reads less often than Every.
 	ReadEach time.Duration
 	// Again is the delay before a failed renewal is retried. When hundreds of entries start
-	// together, the store accepts only a few hundred rows a second and refuses the rest.
+	// together, the store accepts only a few hundred rows a second and refuses the others.
 	Again time.Duration
 	// CallWithin is the timeout of one call to the store.
 	CallWithin time.Duration
@@ -43,8 +43,8 @@
 	// AloneWithin is the maximum delay before an entry that found no other one reads the table
 	// again.
 	AloneWithin time.Duration
-	// ToldWithin is how long an entry in contact with another one takes to learn of the rest from
-	// it.
+	// ToldWithin is how long an entry in contact with another one takes to learn of further
+	// entries from it.
 	ToldWithin time.Duration
 	// WriteEach is the minimum interval between the writes of all entries together when they start.
 	WriteEach time.Duration
@@ -56,8 +56,8 @@
 	// Found receives the listed entries by name after each read. They include this entry once its
 	// row is written.
 	Found func(listed map[string]roster.Entry)
-	// Heard returns the number of other entries whose messages arrive. Entries in contact tell each
-	// other of further ones.
+	// Heard returns the number of other entries whose messages arrive. Entries in contact inform
+	// each other of further ones.
 	Heard func() int
 	// Known is called when the entry knows as many of the others as it can learn soon. It may be
 	// called again.
@@ -97,7 +97,7 @@
 	// renewRequests holds a request of RenewSoon until this entry's row is written.
 	renewRequests chan struct{}
 
-	// clock is the store's steady clock at the last read, and clockAt the local time of that read.
+	// clock is the store's monotonic clock at the last read, and clockAt the local time of that read.
 	clock   time.Duration
 	clockAt time.Time
 	failing bool
@@ -167,7 +167,7 @@
 	}
 }
 
-// row returns this entry's row as of clock, a time on the store's steady clock.
+// row returns this entry's row as of clock, a time on the store's monotonic clock.
 func (d *Directory) row(clock time.Duration) row {
 	e := d.settings.Entry
 	return row{
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,7 +14,7 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// fakeStore is an in-memory store with its own steady clock.
+// fakeStore is an in-memory store with its own monotonic clock.
 type fakeStore struct {
 	rows  map[string][]byte
 	clock time.Duration
@@ -58,7 +58,7 @@
 	seam := store.platformStore()
 	found := make(chan map[string]roster.Entry, 4)
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, CallWithin: time.Second},
-		seam, othersNeverHeard(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
+		seam, withoutContact(func(a map[string]roster.Entry) { found <- a }), nothingCarried, events.Nop(), time.Now)
 	put := seam.Put
 	seam.Put = func(ctx context.Context, table, name string, value []byte) error {
 		// The other entry writes its row at the same time.
@@ -94,7 +94,7 @@
 		return put(ctx, table, name, value)
 	}
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Millisecond, CallWithin: time.Second},
-		seam, othersNeverHeard(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
+		seam, withoutContact(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -122,7 +122,7 @@
 		return put(ctx, table, name, value)
 	}
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Hour, Again: time.Millisecond, CallWithin: time.Second},
-		seam, othersNeverHeard(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
+		seam, withoutContact(func(map[string]roster.Entry) {}), nothingCarried, events.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -157,7 +157,7 @@
 	at := time.Now()
 	var found map[string]roster.Entry
 	d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: 10 * time.Second, CallWithin: time.Second},
-		store.platformStore(), othersNeverHeard(func(a map[string]roster.Entry) { found = a }), nothingCarried, events.Nop(), func() time.Time { return at })
+		store.platformStore(), withoutContact(func(a map[string]roster.Entry) { found = a }), nothingCarried, events.Nop(), func() time.Time { return at })
 	if err := d.read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 			}
 			var found int
 			d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: 10 * time.Second, ReadEach: 500 * time.Millisecond, CallWithin: time.Second},
-				store.platformStore(), othersNeverHeard(func(a map[string]roster.Entry) { found = len(a) }), nothingCarried, events.Nop(), time.Now)
+				store.platformStore(), withoutContact(func(a map[string]roster.Entry) { found = len(a) }), nothingCarried, events.Nop(), time.Now)
 			if err := d.read(t.Context()); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/directory/row.go
+++ b/internal/directory/row.go
@@ -19,8 +19,8 @@
 // row is the value that an entry stores about itself.
 type row struct {
 	Address string `json:"address"`
-	// RenewedMS is the time of the renewal on the store's steady clock, as far as the writer knows
-	// it from its last read.
+	// RenewedMS is the time of the renewal on the store's monotonic clock, as the
+	// writer extrapolates it from its last read.
 	RenewedMS int64 `json:"renewed_ms"`
 	// RenewsEachMS is the interval at which the writer renews the row.
 	RenewsEachMS int64 `json:"renews_each_ms"`
@@ -36,7 +36,7 @@
 
 const (
 	// maxClockMS is the highest accepted time, about 300 years. A time.Duration can hold it, and no
-	// steady clock reads more.
+	// monotonic clock reads more.
 	maxClockMS = 9_000_000_000_000
 	// maxExcerptBytes limits how much of a row an error repeats, because the error is logged.
 	maxExcerptBytes = 128
@@ -75,7 +75,7 @@
 }
 
 // missed returns the number of renewals that the writer has missed as of clock, a time on the
-// store's steady clock.
+// store's monotonic clock.
 func (r row) missed(clock time.Duration) float64 {
 	return float64(r.age(clock).Milliseconds()) / float64(r.RenewsEachMS)
 }
--- a/internal/directory/row_test.go
+++ b/internal/directory/row_test.go
@@ -48,7 +48,7 @@
 			var found map[string]roster.Entry
 			rec := events.Nop()
 			d := New(Settings{Table: "entries", Name: "me", Entry: roster.Entry{Address: "10.0.0.9:1"}, Every: time.Second, CallWithin: time.Second},
-				store.platformStore(), othersNeverHeard(func(a map[string]roster.Entry) { found = a }), nothingCarried, rec, time.Now)
+				store.platformStore(), withoutContact(func(a map[string]roster.Entry) { found = a }), nothingCarried, rec, time.Now)
 			for range 3 {
 				if err := d.read(t.Context()); err != nil {
 					t.Fatal(err)
@@ -83,7 +83,7 @@
 func TestBadRowsAreLoggedOncePerVersion(t *testing.T) {
 	version, rows := int64(1), 1
 	rec := events.Nop()
-	d := New(Settings{Table: "entries"}, &platform.Store{}, othersNeverHeard(func(map[string]roster.Entry) {}), nothingCarried, rec, time.Now)
+	d := New(Settings{Table: "entries"}, &platform.Store{}, withoutContact(func(map[string]roster.Entry) {}), nothingCarried, rec, time.Now)
 	read := func() int {
 		before := len(badRowLogs(rec))
 		var s platform.Snapshot
--- a/internal/directory/startup_test.go
+++ b/internal/directory/startup_test.go
@@ -88,7 +88,7 @@
 		Found: func(listed map[string]roster.Entry) {
 			for other := range listed {
 				if other != name {
-					time.AfterFunc(simDatagramTime, func() { c.markHeard(name, other) })
+					time.AfterFunc(simDatagramTime, func() { c.markContact(name, other) })
 				}
 			}
 		},
@@ -104,7 +104,7 @@
 	}
 }
 
-func (c *startupSim) markHeard(names ...string) {
+func (c *startupSim) markContact(names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
@@ -119,9 +119,9 @@
 	for _, tc := range []struct {
 		name    string
 		entries int
-		// first tells the entries that all of them start together.
+		// first is the setting for entries that all start together.
 		first bool
-		// calls is the maximum number of calls per entry, known the time by which all know of
+		// calls is the maximum number of calls per entry, known the time by which all have learned of
 		// others.
 		calls float64
 		known time.Duration
@@ -130,7 +130,7 @@
 		{"a hundred", 103, true, 2.5, 2 * time.Second},
 		{"412", 412, true, 2.2, 2 * time.Second},
 		{"1,000", 1000, true, 2.2, 2 * time.Second},
-		{"412 not told that all start together", 412, false, 12, 20 * time.Second},
+		{"412 that start together, without the setting for it", 412, false, 12, 20 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
