--- a/internal/relay/epochs_test.go
+++ b/internal/relay/epochs_test.go
@@ -63,7 +63,7 @@
 	return ""
 }
 
-// followers is a set of entries that know each other and follow one table of a fake store.
+// followers is a set of entries that have each other as peers and follow one table of a fake store.
 type followers struct {
 	rows      *standin.Rows
 	storeDown atomic.Bool
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -193,7 +193,7 @@
 	return e
 }
 
-// pruneTombstones drops tombstones that are older than tombstoneTTL. A peer that knows only older
+// pruneTombstones drops tombstones that are older than tombstoneTTL. A peer that has only older
 // versions has to read the whole table.
 func (l *Log) pruneTombstones(t *tableLog) {
 	for name, e := range t.rows {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -59,7 +59,7 @@
 	server  *peer.Server
 }
 
-// deployment is a set of entries in one zone that know each other. age is the age of their last
+// deployment is a set of entries in one zone that have each other as peers. age is the age of their last
 // confirmations.
 type deployment struct {
 	t       *testing.T
--- a/internal/relay/starts_test.go
+++ b/internal/relay/starts_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestInitialListFallsBackToStore checks that a starting entry reads the store itself if the
-// delegate is down or does not know the table in time.
+// delegate is down or does not have the table in time.
 func TestInitialListFallsBackToStore(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -132,7 +132,7 @@
 }
 
 // askList asks a peer for the whole table and rejects an answer that is older than oldest. A peer
-// that is itself reading the table from the store holds the call until it knows the table.
+// that is itself reading the table from the store holds the call until it has read the table.
 func (s *Store) askList(ctx context.Context, p Peer, table string, oldest time.Duration) (platform.Snapshot, error) {
 	snap, err := s.ask(ctx, p, methodList, table, listParams{Table: table, WaitMS: s.settings.Wait.Milliseconds()}, oldest)
 	if err == nil {
@@ -257,7 +257,7 @@
 }
 
 // recordStoreResult records whether a direct call to the store succeeded. A call that this process
-// cancelled says nothing about the store.
+// cancelled shows nothing about the store.
 func (s *Store) recordStoreResult(ctx context.Context, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,7 +269,7 @@
 	}
 }
 
-// callerCancelled reports whether the caller cancelled a call. Such a failure says nothing about
+// callerCancelled reports whether the caller cancelled a call. Such a failure shows nothing about
 // the remote side, and other calls may be in flight on the same connection.
 func callerCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
--- a/internal/relay/zones_test.go
+++ b/internal/relay/zones_test.go
@@ -12,7 +12,7 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// fleet is a set of entries that all know each other. Nothing is sent between them.
+// fleet is a set of entries that all have each other as peers. Nothing is sent between them.
 type fleet struct {
 	peers   []Peer
 	sources map[string]*Store
