--- a/internal/daemon/badrows.go
+++ b/internal/daemon/badrows.go
@@ -88,7 +88,7 @@
 	b.suppressed = 0
 }
 
-// remove deletes a row that is gone or can be used again.
+// remove deletes a row that was removed or can be used again.
 func (b *badRows) remove(name string) {
 	if old, ok := b.rows[name]; ok {
 		b.current.WithLabelValues(old.reason).Dec()
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -18,7 +18,7 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// RunEntry runs an entry until the process is told to stop.
+// RunEntry runs an entry until the process is asked to stop.
 func RunEntry(ctx context.Context, s EntrySettings, logs io.Writer) error {
 	if err := s.Check(); err != nil {
 		return err
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -65,7 +65,7 @@
 	relayWait          = 500 * time.Millisecond
 	relayTimeoutMargin = 250 * time.Millisecond
 	// relayMaxAge is the age beyond which data from a delegate is not used. It is slightly longer
-	// than the age of that data in steady state and shorter than the age up to which routes are
+	// than the age of that data in normal operation and shorter than the age up to which routes are
 	// trusted.
 	relayMaxAge = 2 * time.Second
 	// relayAvoidFailed is how long an entry that failed to answer is not asked again: the time of a
@@ -84,7 +84,7 @@
 	// come back. The operators of the platform state about two seconds.
 	settleTime = 2200 * time.Millisecond
 	// restoreTime is how long after the store was restored from an older copy its rows may be
-	// incomplete: rows are still written again, and rows of upstreams that have ended meanwhile
+	// incomplete: rows are still written again, and rows of upstreams that have stopped meanwhile
 	// still disappear. It covers a few heartbeats.
 	restoreTime = 5 * time.Second
 	// keyBoundMargin is subtracted from the key bound, because the feed of the store may report
@@ -177,7 +177,7 @@
 	tableEntries = "entries"
 )
 
-// RunGateway runs a gateway until the process is told to stop.
+// RunGateway runs a gateway until the process is asked to stop.
 func RunGateway(ctx context.Context, s GatewaySettings, logs io.Writer) error {
 	if err := s.Check(); err != nil {
 		return err
--- a/internal/daemon/gatewaypeers.go
+++ b/internal/daemon/gatewaypeers.go
@@ -106,7 +106,7 @@
 }
 
 // recallHeldRequests takes over the quarantined requests in the row of another entry. For an entry
-// that starts when all others are gone, the rows are the only source for them.
+// that starts when all others have stopped, the rows are the only source for them.
 func (b *gatewayBuilder) recallHeldRequests(entry string, value []byte, age time.Duration) {
 	var held []quarantine.Message
 	if err := cbor.Unmarshal(value, &held); err != nil {
--- a/internal/daemon/gatewaysettings.go
+++ b/internal/daemon/gatewaysettings.go
@@ -23,7 +23,7 @@
 	RetryRatio    float64       `arg:"--retry-ratio,env:SPARSHORE_RETRY_RATIO" default:"0.2" help:"additional attempts allowed for each request"`
 	RetryExtra    float64       `arg:"--retry-extra,env:SPARSHORE_RETRY_EXTRA" default:"20" help:"further additional attempts allowed in each window, for all entries together"`
 	RetryWindow   time.Duration `arg:"--retry-window,env:SPARSHORE_RETRY_WINDOW" default:"10s" help:"window in which attempts are counted"`
-	StopWithin    time.Duration `arg:"--stop-within,env:SPARSHORE_STOP_WITHIN" default:"8s" help:"time until a process that was told to stop is killed"`
+	StopWithin    time.Duration `arg:"--stop-within,env:SPARSHORE_STOP_WITHIN" default:"8s" help:"time until a process that was asked to stop is killed"`
 	CoreShare     float64       `arg:"--core-share,env:SPARSHORE_CORE_SHARE" default:"1" help:"part of each core that this process may use; entries with the most processor time and bandwidth do shared work for the others"`
 	Cores         int           `arg:"--cores,env:SPARSHORE_CORES" default:"1" help:"number of cores that this process may use in part"`
 	LinkMbps      float64       `arg:"--link-mbps,env:SPARSHORE_LINK_MBPS" default:"1000" help:"bandwidth of the VM in Mbit/s"`
--- a/internal/daemon/gatewaystatus.go
+++ b/internal/daemon/gatewaystatus.go
@@ -64,7 +64,7 @@
 	stateSuspected = "suspected"
 )
 
-// status returns to operators what this gateway knows of other processes.
+// status returns to operators the state of other processes as seen by this gateway.
 func (b *gatewayBuilder) status(w http.ResponseWriter, _ *http.Request) {
 	out := statusBody{Process: b.settings.Name, Zone: b.settings.Zone, Peers: b.peerStatuses(), BadRows: b.upstreams.bad.list(), Limits: b.limitStatuses()}
 	if table, confirmed := b.routes.Current(); table != nil {
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -22,7 +22,7 @@
 	"github.com/sparshore/sparshore/internal/sidecar"
 )
 
-// RunSidecar runs a sidecar until the process is told to stop.
+// RunSidecar runs a sidecar until the process is asked to stop.
 func RunSidecar(ctx context.Context, s SidecarSettings, logs io.Writer) error {
 	if err := s.Check(); err != nil {
 		return err
--- a/internal/daemon/upstreamrows.go
+++ b/internal/daemon/upstreamrows.go
@@ -22,11 +22,11 @@
 }
 
 // apply applies the rows of an answer of the store. full marks an answer that holds the whole
-// table. settled is the time from which missing rows count as gone. The upstream of a row that
+// table. settled is the time from which missing rows count as removed. The upstream of a row that
 // cannot be used stays in the fleet: it gets no new work, and its running requests continue.
 func (u *upstreamRows) apply(rows []product.Record, full bool, settled time.Time) {
-	records, unreadable, gone := u.changes(rows, full)
-	u.fleet.UpdateAll(records, unreadable, gone, full, settled)
+	records, unreadable, removals := u.changes(rows, full)
+	u.fleet.UpdateAll(records, unreadable, removals, full, settled)
 }
 
 // restore is apply for the first complete read of the table after the store was restored from an
@@ -38,7 +38,7 @@
 
 // changes decodes changed rows. An answer may hold several changes of the same row, in order. Only
 // the last one is used.
-func (u *upstreamRows) changes(rows []product.Record, full bool) (records []fleet.Record, unreadable []string, gone []fleet.Gone) {
+func (u *upstreamRows) changes(rows []product.Record, full bool) (records []fleet.Record, unreadable []string, removals []fleet.Gone) {
 	lastIndex := make(map[string]int, len(rows))
 	for i, row := range rows {
 		lastIndex[row.Name] = i
@@ -52,7 +52,7 @@
 		}
 		if row.Gone {
 			u.bad.remove(row.Name)
-			gone = append(gone, fleet.Gone{Name: row.Name, Version: row.Version})
+			removals = append(removals, fleet.Gone{Name: row.Name, Version: row.Version})
 			continue
 		}
 		var r fleet.Record
@@ -69,5 +69,5 @@
 		r.Version = row.Version
 		records = append(records, r)
 	}
-	return records, unreadable, gone
+	return records, unreadable, removals
 }
