--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -14,16 +14,16 @@
 	// It covers about ten generations of one entry in a deployment of 22 entries that get 55 a
 	// second.
 	refusalDecayTime = 4 * time.Second
-	// minRetryAfterShare is the part of the objective after which a caller is told to retry while
+	// minRetryAfterShare is the part of the objective after which a caller is asked to retry while
 	// nearly all generations are admitted: three quarters are left to prefill the prompt.
 	minRetryAfterShare = 0.25
-	// BackLeast is the shortest time after which a caller is told to retry: about the time in
+	// BackLeast is the shortest time after which a caller is asked to retry: about the time in
 	// which a few of some hundred streams end.
 	BackLeast = 250 * time.Millisecond
 	// ageFactor, multiplied by the refused share of generations, is the part of the age of the
-	// overload that a caller is told to wait, up to the whole age.
+	// overload that a caller is asked to wait, up to the whole age.
 	ageFactor = 1.5
-	// BackSpread is the jitter of the times told, as a fraction in both directions, so that
+	// BackSpread is the jitter of the retry times, as a fraction in both directions, so that
 	// callers refused together do not retry together.
 	BackSpread = 0.25
 )
@@ -46,7 +46,7 @@
 }
 
 // Refused records a refusal and returns the time after which the caller should retry. objective
-// is the time in which the route of the caller wants generations to begin. random, in [0, 1),
+// is the time in which generations should begin, as set by the caller's route. random, in [0, 1),
 // sets the jitter.
 //
 // While few generations are refused, that time is short: the retry very likely finds room and
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestRetryAfterGrowsWithOverload simulates 5 generations a second at one entry, of which some
-// are refused. It fails if callers are told to retry too late for their objective while few are
+// are refused. It fails if callers are asked to retry too late for their objective while few are
 // refused, if the time does not grow with the refused share and the age of the overload, or if
 // an overload that is over still counts.
 func TestRetryAfterGrowsWithOverload(t *testing.T) {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,7 +1,7 @@
 // Package placement decides which upstream takes a request: whether an engine has room for a
 // generation, which engine with room gets it, where a generation that has to move continues,
 // how much memory is reserved for such moves, and when a refused caller should retry. It has no
-// clock and no network, and it locks only its own state: callers pass in what they know and
+// clock and no network, and it locks only its own state: callers pass in the known state and
 // receive a decision with its reason. internal/gateway keeps the state and carries out the
 // decisions; internal/placement/replay simulates loads against them.
 package placement
--- a/internal/placement/replay/pool.go
+++ b/internal/placement/replay/pool.go
@@ -18,7 +18,7 @@
 	// busyUntil is the end of the current step, at which its tokens are delivered.
 	busyUntil time.Duration
 	tokens    []enginemodel.Token
-	// leavesAt is when the engine ends: 0 if it does not leave, -1 once it has ended.
+	// leavesAt is when the engine stops: 0 if it does not leave, -1 once it has stopped.
 	// replacedAt is when it is replaced.
 	leavesAt, replacedAt time.Duration
 	// linkBusyUntil is the end of the last copy that is queued on the link of the engine.
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -21,7 +21,7 @@
 	SendRanks bool
 	// AlwaysReserve reserves the part of the memory that leaves together at all times.
 	AlwaysReserve bool
-	// LateRetryAfter tells callers to retry after the age of the overload, at least a second.
+	// LateRetryAfter asks callers to retry after the age of the overload, at least a second.
 	LateRetryAfter bool
 }
 
--- a/internal/placement/replay/replay_test.go
+++ b/internal/placement/replay/replay_test.go
@@ -14,7 +14,7 @@
 // TestProductServesBetterThanVariants simulates a load for which memory is short. It fails if
 // the product serves the load no better than the variants that it was chosen over, or if any
 // figure differs from the golden file, so that a changed decision shows. Ranks at the engines
-// make no difference here, since the entry that decides knows all that engines hold; the wire
+// make no difference here, since the entry that decides has the full state of all engines; the wire
 // tests cover entries that do not.
 func TestProductServesBetterThanVariants(t *testing.T) {
 	const seeds = 4
--- a/internal/placement/returns_test.go
+++ b/internal/placement/returns_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestCallersRetryInOrderAfterBackoff checks that callers refused while all upstreams are in
-// back-off are told to retry one after another, in the order of their refusals, and within
+// backoff are asked to retry one after another, in the order of their refusals, and within
 // ReturnWithin of its end. Callers that all retried at its end would overload the upstreams
 // again.
 func TestCallersRetryInOrderAfterBackoff(t *testing.T) {
@@ -22,10 +22,10 @@
 	}
 	for range 1000 {
 		if at := r.At("app", opensAt); at.Before(opensAt) || at.Sub(opensAt) > ReturnWithin {
-			t.Fatalf("a caller retries %s after the back-off, want within %s", at.Sub(opensAt), ReturnWithin)
+			t.Fatalf("a caller retries %s after the backoff, want within %s", at.Sub(opensAt), ReturnWithin)
 		}
 	}
 	if at := r.At("app", opensAt.Add(time.Minute)); !at.Equal(opensAt.Add(time.Minute)) {
-		t.Errorf("the first caller of the next back-off retries %s after its end, want at its end", at.Sub(opensAt.Add(time.Minute)))
+		t.Errorf("the first caller of the next backoff retries %s after its end, want at its end", at.Sub(opensAt.Add(time.Minute)))
 	}
 }
