--- a/internal/directory/begin_test.go
+++ b/internal/directory/begin_test.go
@@ -11,7 +11,7 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// TestFailedFirstReadsAreRetriedSoon guards against an entry that does not know the others for 5 to
+// TestFailedFirstReadsAreRetriedSoon guards against an entry that does not learn of the others for 5 to
 // 15 s after its start, because a failed first read is only repeated at the next regular one.
 func TestFailedFirstReadsAreRetriedSoon(t *testing.T) {
 	store := &fakeStore{rows: map[string][]byte{}, clock: 1000 * time.Second}
--- a/internal/directory/carried_test.go
+++ b/internal/directory/carried_test.go
@@ -31,16 +31,16 @@
 		}
 		store.rows[name] = b
 	}
-	heard, writes := map[string]time.Duration{}, make(chan []byte)
+	ages, writes := map[string]time.Duration{}, make(chan []byte)
 	carried := RowData{
 		Value:  func() []byte { return []byte("all") },
-		OnRead: func(_ string, value []byte, age time.Duration) { heard[string(value)] = age },
+		OnRead: func(_ string, value []byte, age time.Duration) { ages[string(value)] = age },
 	}
 	fake := store.platformStore()
 	put := fake.Put
 	fake.Put = func(ctx context.Context, table, name string, value []byte) error {
-		if heard["of me"] != 2*time.Second || heard["of gone"] != 3*time.Second {
-			t.Errorf("heard %v before the first write", heard)
+		if ages["of me"] != 2*time.Second || ages["of gone"] != 3*time.Second {
+			t.Errorf("ages %v before the first write", ages)
 		}
 		select {
 		case writes <- value:
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,7 +14,7 @@
 	"github.com/sparshore/sparshore/internal/roster"
 )
 
-// fakeStore is an in-memory store with its own steady clock.
+// fakeStore is an in-memory store with its own monotonic clock.
 type fakeStore struct {
 	rows  map[string][]byte
 	clock time.Duration
--- a/internal/quarantine/word.go
+++ b/internal/quarantine/word.go
@@ -8,7 +8,7 @@
 const (
 	// gossipTTL is how long this entry reports a crash that it saw if the request has only that
 	// one. It allows for several messages to each peer, even if a peer is frozen for seconds.
-	// Requests with more crashes are reported by all entries for as long as they know them, so that
+	// Requests with more crashes are reported by all entries for as long as they keep them, so that
 	// new entries learn of them.
 	gossipTTL = 10 * time.Second
 	// gossipByAllThreshold is the number of crashes from which on all entries report a request.
@@ -23,13 +23,13 @@
 // repeatedly and late.
 type Report struct {
 	Request
-	// Crashes maps the starts that crashed under the request to the time of the crash.
+	// Crashes maps the incarnations that crashed under the request to the time of the crash.
 	Crashes map[string]time.Time
-	// OrdinaryRuns lists the crashed starts at which the request's run had begun before it was a suspect,
+	// OrdinaryRuns lists the crashed incarnations at which the request's run had begun before it was a suspect,
 	// and TrialRuns those at which it ran as a suspect.
 	OrdinaryRuns []string
 	TrialRuns    []string
-	// Voided lists the starts whose crashes no longer count against the request.
+	// Voided lists the incarnations whose crashes no longer count against the request.
 	Voided []string
 	// Runs is set if the reporting entry runs the request. At is the upstream that runs it, if it
 	// was a suspect when it was sent there.
@@ -37,12 +37,12 @@
 	At   string
 }
 
-// kind returns how the request ran at a start.
-func (w *Report) kind(start string) runKind {
+// kind returns how the request ran at an incarnation.
+func (w *Report) kind(incarnation string) runKind {
 	switch {
-	case slices.Contains(w.OrdinaryRuns, start):
+	case slices.Contains(w.OrdinaryRuns, incarnation):
 		return ordinaryRun
-	case slices.Contains(w.TrialRuns, start):
+	case slices.Contains(w.TrialRuns, incarnation):
 		return trialRun
 	default:
 		return unknownRun
@@ -74,7 +74,7 @@
 // runsHere reports whether this entry runs a suspect. The caller must hold the lock.
 func (s *Set) runsHere(u *suspect) bool { return s.running[u.fingerprint] > 0 && s.restricted(u) }
 
-// shouldReport reports whether other entries are to be told about a request. The caller must hold
+// shouldReport reports whether other entries should be informed about a request. The caller must hold
 // the lock.
 func (s *Set) shouldReport(u *suspect) bool {
 	if len(u.activeCrashes()) >= gossipByAllThreshold {
@@ -112,17 +112,17 @@
 		}
 	}
 	reportAll := len(u.activeCrashes()) >= gossipByAllThreshold
-	for start, c := range u.crashes {
+	for incarnation, c := range u.crashes {
 		switch {
 		case c.voided() && s.shouldReportCrash(c):
-			w.Voided = append(w.Voided, start)
+			w.Voided = append(w.Voided, incarnation)
 		case !c.voided() && (reportAll || s.shouldReportCrash(c)):
-			w.Crashes[start] = c.at
+			w.Crashes[incarnation] = c.at
 			switch c.kind {
 			case ordinaryRun:
-				w.OrdinaryRuns = append(w.OrdinaryRuns, start)
+				w.OrdinaryRuns = append(w.OrdinaryRuns, incarnation)
 			case trialRun:
-				w.TrialRuns = append(w.TrialRuns, start)
+				w.TrialRuns = append(w.TrialRuns, incarnation)
 			case unknownRun:
 			}
 		}
@@ -155,9 +155,9 @@
 	for _, u := range quarantined[:min(len(quarantined), maxSaved)] {
 		w := s.report(u)
 		w.Voided, w.OrdinaryRuns, w.TrialRuns, w.Runs, w.At = nil, nil, nil, false, ""
-		for start := range w.Crashes {
+		for incarnation := range w.Crashes {
 			if len(w.Crashes) > maxSavedCrashes {
-				delete(w.Crashes, start)
+				delete(w.Crashes, incarnation)
 			}
 		}
 		out = append(out, w)
@@ -190,7 +190,7 @@
 func (s *Set) Merge(entry string, reports []Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastHeard[entry] = s.now()
+	s.lastReportAt[entry] = s.now()
 	runs, changed := map[Fingerprint]bool{}, false
 	var upstreams []string
 	for _, w := range reports {
@@ -223,15 +223,15 @@
 		return false
 	}
 	u := s.getOrAdd(w.Request)
-	for start, at := range w.Crashes {
-		if u.addCrash(start, at, false) {
+	for incarnation, at := range w.Crashes {
+		if u.addCrash(incarnation, at, false) {
 			changed = true
-			s.voidIfServed(u, start)
+			s.voidIfServed(u, incarnation)
 		}
-		changed = u.setRunKind(start, w.kind(start)) || changed
+		changed = u.setRunKind(incarnation, w.kind(incarnation)) || changed
 	}
-	for _, start := range w.Voided {
-		changed = u.voidCrash(start, s.now()) || changed
+	for _, incarnation := range w.Voided {
+		changed = u.voidCrash(incarnation, s.now()) || changed
 	}
 	if u.expired(s.now()) {
 		// Other entries may remember it a little longer.
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -140,14 +140,14 @@
 
 starts=internal/fleet/starts.go
 mutant start-own-id $starts 's/case born != 0:/case false:/' internal/fleet TestRestartUnderTheSameName
-mutant start-id-unique $starts 's/return name \+ startSeparator\n/return name\n/' internal/fleet TestStartIdentifiers
-mutant start-ended $starts 's/\ts\.remove\(m\)\n\ts\.rec/\ts.rec/' internal/fleet 'TestLateInformationAboutAnEarlierStart|TestRestartUnderTheSameName'
-mutant start-old-news $starts 's/if !overrides && isOlder\(r, m\.Record\) \{/if !overrides \&\& false {/' internal/fleet TestLateInformationAboutAnEarlierStart
-mutant start-version-first $starts 's/r\.Version == 0 \|\| other\.Version == 0 \|\| r\.Version == other\.Version/true/' internal/fleet TestLateInformationAboutAnEarlierStart
-mutant start-birth-unversioned $starts 's/return r\.Born < other\.Born/return false/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-id-unique $starts 's/return name \+ incarnationSeparator\n/return name\n/' internal/fleet TestIncarnationIdentifiers
+mutant start-ended $starts 's/\ts\.remove\(m\)\n\ts\.rec/\ts.rec/' internal/fleet 'TestLateInformationAboutAnEarlierIncarnation|TestRestartUnderTheSameName'
+mutant start-old-news $starts 's/if !overrides && isOlder\(r, m\.Record\) \{/if !overrides \&\& false {/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
+mutant start-version-first $starts 's/r\.Version == 0 \|\| other\.Version == 0 \|\| r\.Version == other\.Version/true/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
+mutant start-birth-unversioned $starts 's/return r\.Born < other\.Born/return false/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
 mutant start-no-birth $starts 's/known && r\.Born == 0/false/' internal/fleet TestRecordWithoutAStartTime
-mutant start-old-removal internal/fleet/set.go 's/g\.Version != 0 && g\.Version < m\.Version/false/' internal/fleet TestLateInformationAboutAnEarlierStart
-mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[startID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.byName[name].ID] {/' internal/fleet TestLateInformationAboutAnEarlierStart
+mutant start-old-removal internal/fleet/set.go 's/g\.Version != 0 && g\.Version < m\.Version/false/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
+mutant start-listed-name internal/fleet/set.go 's/seen\[r\.Name\] = true/seen[incarnationID(r.Name, r.Born)] = true/; s/if !seen\[name\] \{/if !seen[s.byName[name].ID] {/' internal/fleet TestLateInformationAboutAnEarlierIncarnation
 mutant start-version-kept internal/daemon/upstreamrows.go 's/\t\tr\.Version = row\.Version\n//' internal/daemon TestUpstreamChangesKeep
 mutant start-removal-version internal/daemon/upstreamrows.go 's/, Version: row\.Version\}\)/})/' internal/daemon TestUpstreamChangesKeep
 mutant start-report $gateway/inquire.go 's/ && state\.StartedAt != u\.Born \{/ \&\& false {/' $gateway TestReportOfAnotherIncarnation
@@ -174,20 +174,20 @@
 mutant held-stood-out $held/verdict.go 's/case o\.leadsAtAny\(u, distinctive\):/case true:/' $held TestAttribution
 mutant held-explained $held/verdict.go 's/open\[u\] = e\.unexplained\(u\)/open[u] = u.activeCrashes()/' $held TestAttribution
 mutant held-telling $held/verdict.go 's/case len\(distinctive\) < needed:/case len(distinctive)+needed < 0:/' $held 'TestHarmlessRequestBesideTwoPoisonRequests|TestSoundRequestsBesideSeveral'
-mutant held-first-run $held/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, start, func\(\*suspect\) bool \{ return true \}\)/return false/' $held TestHarmlessRequestBesideTwoPoisonRequests
+mutant held-first-run $held/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, incarnation, func\(\*suspect\) bool \{ return true \}\)/return false/' $held TestHarmlessRequestBesideTwoPoisonRequests
 mutant held-stray $held/verdict.go 's/if n > maxSpontaneous \{/if n < 0 {/; s/\t\tif latest\.Sub/\t\tif n >= 0 \&\& latest.Sub/' $held 'TestSoundRequestsBesideSeveralCulprits/.*rolling_150ms' -rig.seeds=20
-mutant held-later-start $held/laterstart.go 's/for n := 1; s\.crashedBefore/for n := 1; n < 0 \&\& s.crashedBefore/' $held TestLaterStart
+mutant held-later-start $held/laterstart.go 's/for n := 1; s\.crashedBefore/for n := 1; n < 0 \&\& s.crashedBefore/' $held TestLaterIncarnation
 mutant held-later-crossed $held/laterstart.go 's/sentAt\.Add\(-minDowntime\)/sentAt.Add(minDowntime)/' $held TestRequestSentRightAfterCrash
 mutant held-explained-by-one $held/set.go 's/if s\.explainedByOne\(u\) \{\n\t\treturn u\.unconfirmed\(\)\n\t\}/if len(s.explained.unexplained(u)) == 0 {\n\t\treturn u.unconfirmed()\n\t}/' $held TestCrashesExplainedByTwoRequests
 mutant held-turn $held/turn.go 's/return slices\.Index\(names, s\.name\)%groups == int\(since\/turnDuration\)%groups/return groups > 0/' $held TestEntriesTakeTurns
 mutant held-apart $gateway/crashing.go 's/if rq\.run\.Isolation\(\) != quarantine\.Apart \{/if true {/' $gateway TestSuspectsAreIsolated
 mutant held-most-there $gateway/crashing.go 's/if !quarantine\.EnoughAvailable\(available, len\(list\)\) \{/if available < 0 {/' $gateway TestSuspectsAreIsolated
 mutant held-trials-told $held/word.go 's/\t\t\tw\.At = upstream\n/\t\t\t_ = upstream\n/' $held TestTrialsAreGossiped
-mutant held-runs-told $held/word.go 's/u\.setRunKind\(start, w\.kind\(start\)\)/u.setRunKind(start, unknownRun)/' $held TestTrialsAreGossiped
+mutant held-runs-told $held/word.go 's/u\.setRunKind\(incarnation, w\.kind\(incarnation\)\)/u.setRunKind(incarnation, unknownRun)/' $held TestTrialsAreGossiped
 mutant held-trial-cost $placement/cost.go 's/\tif c\.Trial \{\n\t\tcost \+= trialCost\n\t\}\n//' $gateway TestSuspectsAreIsolated
 mutant held-entry-apart internal/entry/crashing.go 's/case isolation != quarantine\.Apart:/case true:/' internal/entry TestIsolate
 mutant held-entry-down internal/sidecar/starts.go 's/sentWhileUp := !u\.down \|\| !u\.downAt\.Before\(sentAt\)/sentWhileUp := true/' internal/sidecar TestRequestSentWhileTheUpstreamIsDown
-mutant held-void-told $held/word.go 's/\t\t\tw\.Voided = append\(w\.Voided, start\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
+mutant held-void-told $held/word.go 's/\t\t\tw\.Voided = append\(w\.Voided, incarnation\)\n//' $held 'TestClearanceReachesOtherEntries|TestOperatorsListAndLift'
 mutant held-told-anew $held/word.go 's/\tif len\(u\.activeCrashes\(\)\) >= gossipByAllThreshold \{\n\t\treturn true\n\t\}\n//' $held TestNewEntryLearnsFromGossip
 mutant held-bounded $held/set.go 's/\t\ts\.evictIfFull\(\)\n//' $held TestSuspectsAreBounded
 mutant held-ends-bounded $held/suspect.go 's/if len\(u\.crashes\) >= maxCrashes \{/if false {/' $held TestCrashesOfOneRequestAreBounded
@@ -238,7 +238,7 @@
 
 # Rate limits of upstreams.
 limits=internal/limits
-mutant limits-part $limits/grant.go 's/if 2\*heard > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
+mutant limits-part $limits/grant.go 's/if 2\*live > s\.entryCount \{/if true {/' $limits TestGrantsOnBothSidesOfAPartition
 mutant limits-begin $limits/grant.go 's/l\.grantsFrom = s\.now\(\)\.Add\(s\.others\.BroadcastTime\(\)\)/l.grantsFrom = s.now()/' $limits TestNewGranterWaitsAndStartsEmpty
 mutant limits-other-granter $limits/grant.go 's/case s\.granterOf\(observed\.Start, l\) != s\.name:/case s.granterOf(observed.Start, l) == "":/' $limits TestAnswers
 mutant limits-asked-twice $limits/grant.go 's/if !repeated \{/if _ = repeated; true {/' $limits TestAnswers
@@ -247,12 +247,12 @@
 mutant limits-not-listed $limits/grant.go 's/\tif s\.entryCount == 0 \{\n\t\treturn 0\n\t\}\n//' $limits TestGrantedRate
 mutant limits-order $limits/grant.go 's/return mix\(h\.Sum64\(\)\)/return h.Sum64()/' $limits TestGrantersAreSpread
 mutant limits-closed $limits/permit.go 's/if now\.Before\(l\.closedUntil\) \{/if now.IsZero() {/' $limits TestNoAnswer
-mutant limits-late-head $limits/limits.go 's/s\.noteNoLimit\(start, sent, ownAnswer\)/s.noteNoLimit(start, s.now(), ownAnswer)/' $limits TestLimitInForce
+mutant limits-late-head $limits/limits.go 's/s\.noteNoLimit\(incarnation, sent, ownAnswer\)/s.noteNoLimit(incarnation, s.now(), ownAnswer)/' $limits TestLimitInForce
 mutant limits-most $limits/limits.go 's/full := len\(s\.limits\) >= maxLimits/full := false/' $limits TestLimitsAreBounded
 mutant limits-old-word $limits/message.go 's/out\.NoLimitAt = timeAtAge\(sent/out.NoLimitAt = timeAtAge(now/' $limits TestDecodeObservation
 mutant limits-settled $limits/peers.go 's/ \|\| !p\.acknowledged \|\| p\.wantsAck//' $limits TestRestartedEntryAgreesOnTheGranter
 mutant limits-asks $limits/peers.go 's/ \|\| p\.wantsAck//' internal/gossip TestReceiversOfLimitMessages
-mutant limits-earlier-life $limits/peers.go 's/return known && p\.life == e\.Life/return known && p.life != ""/' $limits TestGranterCandidates
+mutant limits-earlier-life $limits/peers.go 's/return known && p\.incarnation == e\.Life/return known && p.incarnation != ""/' $limits TestGranterCandidates
 mutant limits-silent internal/gossip/limits.go 's/ && now\.Sub\(p\.Heard\) <= staleAfter//; s/staleAfter, now := n\.staleAfter\(\), n\.now\(\)/_ = n.staleAfter()/' internal/gossip TestStalePeersAreNotLive
 mutant limits-stops $limits/peers.go 's/!e\.Stops && //' $limits TestGranterCandidates
 mutant limits-lay internal/gossip/limits.go 's/at := n\.start\.Add\(time\.Duration\(e\.Sent\) \+ time\.Duration\(e\.HeldUS\)\*time\.Microsecond\)/at := n.now()/' internal/gossip TestSentNotBefore
@@ -335,7 +335,7 @@
 
 mutant held-covered internal/quarantine/verdict.go 's/return o\.withoutCovered\(ambiguous\)/return ambiguous/' $held TestHarmlessRequestCovered
 mutant held-covered-alone internal/quarantine/verdict.go 's/ \|\| len\(crashes\) == 0//' $held TestHarmlessRequestCovered
-mutant held-told internal/quarantine/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, start, func\(other \*suspect\) bool \{\n/return o.anyOther(u, start, func(other *suspect) bool {\n/' $held TestNoQuarantineBefore
+mutant held-told internal/quarantine/verdict.go 's/return !c\.complete \|\| o\.anyOther\(u, incarnation, func\(other \*suspect\) bool \{\n/return o.anyOther(u, incarnation, func(other *suspect) bool {\n/' $held TestNoQuarantineBefore
 mutant held-peers internal/quarantine/suspect.go 's/within = peerReportTime/within = 0/' $held TestNoQuarantineBefore
 mutant held-bystanders internal/quarantine/verdict.go 's/len\(crashes\) > 1 && !o\.covers\(u, other\)/len(crashes) > 1/' $held TestBystandersDoNotDelay
 
