--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -58,7 +58,7 @@
 	n := b.node
 	b.store = rollout.NewStore(n.settings.Name, n.settings.Zone, n.rec)
 	b.store.Validate = validate
-	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.behind, Suspects: b.peerSuspects}
+	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.onNewerMark, Suspects: b.peerSuspects}
 	b.client = sidecar.NewClient(n.rec)
 	methods := peer.Methods{}
 	maps.Copy(methods, b.store.Methods())
@@ -80,7 +80,7 @@
 	b.entry.Quarantine().Merge(process, records)
 }
 
-func (b *entryBuilder) behind(c *peer.Conn, _ config.Mark) { _ = b.store.CatchUp(b.node.ctx, c) }
+func (b *entryBuilder) onNewerMark(c *peer.Conn, _ config.Mark) { _ = b.store.CatchUp(b.node.ctx, c) }
 
 func (b *entryBuilder) methods(*kernel.Registry) (peer.Methods, error) {
 	return baseMethods(b.node, b.self, b.store), nil
@@ -161,7 +161,7 @@
 			time.Sleep(min(balancerNoticeTime, n.settings.StopWithin/2))
 			ctx, cancel := context.WithDeadline(ctx, deadline)
 			defer cancel()
-			if !b.entry.Idle(ctx) {
+			if !b.entry.WaitIdle(ctx) {
 				n.rec.Note(events.DrainTooShort, "")
 			}
 			return nil
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -55,7 +55,7 @@
 	n, s := b.node, b.settings
 	b.store = rollout.NewStore(n.settings.Name, n.settings.Zone, n.rec)
 	b.store.Validate = validate
-	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.behind}
+	b.self = &membership.Self{Identity: n.identity, Recorder: n.rec, Status: b.status, OnNewerMark: b.onNewerMark}
 	noTargets := func(context.Context) ([]rollout.Target, error) { return nil, nil }
 	b.coord = rollout.NewCoordinator(b.store, n.table, n.objects, noTargets, n.rec, rollout.DefaultDeadlines(), now)
 	b.lease = lease.New(n.table, s.Upstream, n.identity.Incarnation(), lease.Settings{Term: s.LeaseTerm, Skew: s.Skew}, now)
@@ -69,14 +69,14 @@
 		CallWindow: s.CallWindow, AnswerBytes: s.AnswerBytes, Skew: s.Skew, CallTimeout: s.CallTimeout, LimitHeader: s.LimitHeader, LeavingHeader: s.LeavingHeader,
 	}, n.identity, b.lease, n.rec, sidecar.NewMetrics(n.reg), b.store.Active, now)
 	b.store.OnActivate = func(a *config.Active) { b.server.Compile(a.Config()) }
-	b.server.OnConfigBehind = func(c *peer.Conn) { b.behind(c, 0) }
+	b.server.OnConfigBehind = func(c *peer.Conn) { b.onNewerMark(c, 0) }
 }
 
 func (b *sidecarBuilder) status() membership.Status {
 	return membership.Status{Leaving: b.server.Draining(), Mark: b.store.Mark(), Load: b.server.Load()}
 }
 
-func (b *sidecarBuilder) behind(c *peer.Conn, _ config.Mark) { _ = b.store.CatchUp(b.node.ctx, c) }
+func (b *sidecarBuilder) onNewerMark(c *peer.Conn, _ config.Mark) { _ = b.store.CatchUp(b.node.ctx, c) }
 
 func (b *sidecarBuilder) methods(*kernel.Registry) (peer.Methods, error) {
 	m := baseMethods(b.node, b.self, b.store)
@@ -168,7 +168,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if !b.server.Idle(ctx) {
+	if !b.server.WaitIdle(ctx) {
 		n.rec.Note(events.DrainTooShort, "")
 		return nil
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -164,8 +164,8 @@
 // arrive are served.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
-// Idle waits until no request is in flight. It returns false if ctx ends first.
-func (e *Entry) Idle(ctx context.Context) bool {
+// WaitIdle waits until no request is in flight. It returns false if ctx ends first.
+func (e *Entry) WaitIdle(ctx context.Context) bool {
 	return e.inFlight.WaitIdle(ctx)
 }
 
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -59,7 +59,7 @@
 type stateBody struct {
 	_    struct{} `cbor:",toarray"`
 	From string
-	// Incarnation identifies the incarnation of the sender.
+	// Life identifies the incarnation of the sender.
 	Life string
 	// Sent is the sender's uptime in nanoseconds plus 1, so that it is never 0.
 	Sent int64
--- a/internal/gossip/scale_test.go
+++ b/internal/gossip/scale_test.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// TestUrgentStateReachesAll checks the time that Told promises for an urgent state to reach all entries.
+// TestUrgentStateReachesAll checks the time that DeliveryTime promises for an urgent state to reach all entries.
 func TestUrgentStateReachesAll(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -12,7 +12,7 @@
 	// EndAgesMS maps each incarnation that crashed under the request to the age of the crash in
 	// milliseconds.
 	EndAgesMS map[string]int64 `json:"e,omitempty"`
-	// Voided lists the incarnations whose crashes no longer count against the request.
+	// Void lists the incarnations whose crashes no longer count against the request.
 	Void []string `json:"v,omitempty"`
 	// Runs is set if the sender is running the request.
 	Runs bool `json:"x,omitempty"`
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// Idle waits until nothing is in flight; it returns false if ctx ends first.
-func (s *Server) Idle(ctx context.Context) bool {
+// WaitIdle waits until nothing is in flight; it returns false if ctx ends first.
+func (s *Server) WaitIdle(ctx context.Context) bool {
 	return s.inFlight.WaitIdle(ctx) && s.delivered(ctx)
 }
 
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -13,7 +13,7 @@
 func stopWouldProceed(s *Server) bool {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	return s.Idle(ended)
+	return s.WaitIdle(ended)
 }
 
 // A sidecar stops while the answer to a call is being written. If the call were no longer counted
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -221,8 +221,8 @@
 mutant stop-lag-asked internal/daemon/gatewayhttp.go 's/, b\.lags\.earliestSignal\(\)$/, time.Now()/m' internal/daemon TestStopSignalTimes
 mutant stop-gives-up-late internal/gateway/stop.go 's/time\.AfterFunc\(end\.Add/time.AfterFunc(last.Add/' internal/gateway TestDrainUntilKeepsRequestsInFlight
 mutant stop-takes-by-last internal/gateway/stop.go 's/g\.stopBy\.Store\(last\)/g.stopBy.Store(end)/' internal/gateway TestDrainUntilKeepsRequestsInFlight
-mutant stop-waits-entry internal/daemon/entry.go 's/if !b\.entry\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/entry_stop'
-mutant stop-waits-sidecar internal/daemon/sidecar.go 's/if !b\.server\.Idle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/leaving'
+mutant stop-waits-entry internal/daemon/entry.go 's/if !b\.entry\.WaitIdle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/entry_stop'
+mutant stop-waits-sidecar internal/daemon/sidecar.go 's/if !b\.server\.WaitIdle\(ctx\) \{/if _ = ctx; false {/' internal/scenario 'TestScripts/leaving'
 mutant stop-waits-gateway internal/daemon/gatewayhttp.go 's/if err := b\.callers\.connections\.Drain\(drainCtx\); err != nil \{/if err := drainCtx.Err(); err != nil {/' internal/daemon TestStopAnswersRequestRead
 mutant stop-stall-looked internal/daemon/runwatch.go 's/d\.stalledFrom, d\.stalledTo = d\.lastTick, now/d.stalledFrom = d.lastTick/' internal/daemon TestStallDetector
 
