--- a/internal/belief/epochs_test.go
+++ b/internal/belief/epochs_test.go
@@ -15,15 +15,15 @@
 // followerOfStandin is a follower of a simulated store, with the rows that it applied.
 type followerOfStandin struct {
 	*Follower
-	rows    *standin.Rows
+	store   *standin.RecordStore
 	applied map[string]string
 	at      time.Time
 }
 
 func newFollowerOfStandin() *followerOfStandin {
-	f := &followerOfStandin{rows: standin.NewRows(), applied: map[string]string{}, at: time.Now()}
+	f := &followerOfStandin{store: standin.NewRecordStore(), applied: map[string]string{}, at: time.Now()}
 	f.Follower = New(Settings{Table: "t", CallSlack: time.Second, BackoffMin: time.Millisecond, BackoffMax: time.Millisecond, SettleFor: 2 * time.Second},
-		f.rows.Platform(), f.applySnapshot, func(time.Time) {}, func() {}, events.Nop(), func() time.Time { return f.at })
+		f.store.Store(), f.applySnapshot, func(time.Time) {}, func() {}, events.Nop(), func() time.Time { return f.at })
 	f.sleep = func(context.Context, time.Duration) {}
 	return f
 }
@@ -55,7 +55,7 @@
 // differs.
 func (f *followerOfStandin) difference(t *testing.T) string {
 	t.Helper()
-	s, err := f.rows.Platform().List(t.Context(), "t")
+	s, err := f.store.Store().List(t.Context(), "t")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,23 +88,23 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFollowerOfStandin()
 			for i := range 3 {
-				f.rows.Put("t", fmt.Sprint("kept-", i), "1")
+				f.store.Put("t", fmt.Sprint("kept-", i), "1")
 			}
-			backup := f.rows.Copy()
+			backup := f.store.Backup()
 			for i := range tc.lost {
-				f.rows.Put("t", fmt.Sprint("lost-", i), "1")
+				f.store.Put("t", fmt.Sprint("lost-", i), "1")
 			}
 			f.polls(t, 2)
-			f.rows.ComeBack(backup)
+			f.store.Restore(backup)
 			f.polls(t, 2)
 			for i := range tc.writtenAgain {
-				f.rows.Put("t", fmt.Sprint("again-", i), "2")
+				f.store.Put("t", fmt.Sprint("again-", i), "2")
 			}
 			f.polls(t, 3)
 			if d := f.difference(t); d != "" {
 				t.Error(d)
 			}
-			f.rows.Put("t", "later", "3")
+			f.store.Put("t", "later", "3")
 			f.polls(t, 2)
 			if d := f.difference(t); d != "" {
 				t.Errorf("after a later write: %s", d)
@@ -119,18 +119,18 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := newFollowerOfStandin()
-		backup := f.rows.Copy()
+		backup := f.store.Backup()
 		for range 60 {
 			name := fmt.Sprint("row-", rng.IntN(6))
 			switch rng.IntN(9) {
 			case 0:
-				backup = f.rows.Copy()
+				backup = f.store.Backup()
 			case 1:
-				f.rows.ComeBack(backup)
+				f.store.Restore(backup)
 			case 2:
-				f.rows.Remove("t", name)
+				f.store.Remove("t", name)
 			case 3, 4, 5:
-				f.rows.Put("t", name, fmt.Sprint(rng.IntN(1000)))
+				f.store.Put("t", name, fmt.Sprint(rng.IntN(1000)))
 			default:
 				f.polls(t, 1)
 			}
@@ -184,9 +184,9 @@
 func TestTableIsReadAgainAfterARestore(t *testing.T) {
 	f := newFollowerOfStandin()
 	f.settings.RestoreFor = 5 * time.Second
-	f.rows.Put("t", "a", "1")
+	f.store.Put("t", "a", "1")
 	f.polls(t, 2)
-	f.rows.ComeBack(f.rows.Copy())
+	f.store.Restore(f.store.Backup())
 	lists, restored := 0, 0
 	f.apply = func(s platform.Snapshot, full bool) {
 		if full {
--- a/internal/gateway/lateanswer_test.go
+++ b/internal/gateway/lateanswer_test.go
@@ -32,7 +32,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return standin.NewHeldBack(c, time.Now().Add(stall)), nil
+				return standin.NewDelayedReadConn(c, time.Now().Add(stall)), nil
 			}, time.Now)
 			f.add("app", "app-1", tc.serve)
 			start := time.Now()
--- a/internal/relay/epochs_test.go
+++ b/internal/relay/epochs_test.go
@@ -65,14 +65,14 @@
 
 // followers is a set of entries that know each other and follow one table of a fake store.
 type followers struct {
-	rows      *standin.Rows
+	store     *standin.RecordStore
 	storeDown atomic.Bool
 	list      []*member
 }
 
 func newFollowers(t *testing.T, n int) *followers {
 	t.Helper()
-	f := &followers{rows: standin.NewRows()}
+	f := &followers{store: standin.NewRecordStore()}
 	for i := range n {
 		m := &member{name: fmt.Sprint("e", i), log: NewLog(time.Now), known: map[string]string{}}
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -101,7 +101,7 @@
 
 // storeFor returns the store as seen by one entry.
 func (f *followers) storeFor(m *member) *platform.Store {
-	direct := f.rows.Platform()
+	direct := f.store.Store()
 	reaches := func() error {
 		if f.storeDown.Load() || m.storeCutOff.Load() {
 			return errDown
@@ -143,7 +143,7 @@
 func (f *followers) convergesWithin(t *testing.T, d time.Duration) string {
 	t.Helper()
 	for end := time.Now().Add(d); ; time.Sleep(5 * time.Millisecond) {
-		s, err := f.rows.Platform().List(t.Context(), table)
+		s, err := f.store.Store().List(t.Context(), table)
 		if err != nil {
 			return err.Error()
 		}
@@ -180,7 +180,7 @@
 	pause := func(most int) { time.Sleep(time.Duration(rng.IntN(most)) * time.Millisecond) }
 	write := func(n int, value string) {
 		for range n {
-			f.rows.Put(table, fmt.Sprint("row-", rng.IntN(8)), fmt.Sprint(value, rng.IntN(1000)))
+			f.store.Put(table, fmt.Sprint("row-", rng.IntN(8)), fmt.Sprint(value, rng.IntN(1000)))
 			pause(3)
 		}
 	}
@@ -189,14 +189,14 @@
 		return "at the start: " + diff
 	}
 	for n := range 3 {
-		held := f.rows.Copy()
+		backup := f.store.Backup()
 		write(2+rng.IntN(5), "lost ")
 		pause(100)
 		cut := f.list[rng.IntN(len(f.list))]
 		cut.storeCutOff.Store(rng.IntN(2) == 0)
 		f.storeDown.Store(true)
 		pause(150)
-		f.rows.ComeBack(held)
+		f.store.Restore(backup)
 		f.storeDown.Store(false)
 		pause(60)
 		write(1+rng.IntN(8), "again ")
--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -225,11 +225,11 @@
 		return func() { _ = c.signal(name, syscall.SIGCONT) }
 	case 2:
 		result.add("faults cut")
-		c.relays[name].Cut(true)
-		return func() { c.relays[name].Cut(false) }
+		c.proxies[name].Cut(true)
+		return func() { c.proxies[name].Cut(false) }
 	case 3:
 		result.add("faults reset")
-		c.relays[name].Reset()
+		c.proxies[name].Reset()
 		return func() {}
 	case 4:
 		result.add("faults outage")
--- a/internal/scenario/cluster_test.go
+++ b/internal/scenario/cluster_test.go
@@ -49,7 +49,7 @@
 	storesURL    string
 	mu           sync.Mutex
 	procs        map[string]*process
-	relays       map[string]*standin.Relay
+	proxies      map[string]*standin.TCPProxy
 	engines      map[string]*standin.Engine
 	services     map[string]string
 	upstreamURLs map[string]string
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &cluster{
 		dir: dir, platform: standin.NewPlatform(time.Now), procs: map[string]*process{},
-		relays: map[string]*standin.Relay{}, engines: map[string]*standin.Engine{},
+		proxies: map[string]*standin.TCPProxy{}, engines: map[string]*standin.Engine{},
 		services: map[string]string{}, upstreamURLs: map[string]string{}, ctx: ctx, cancel: cancel, env: env,
 	}
 	url, err := c.serve(c.platform.Handler())
@@ -132,7 +132,7 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// close kills the processes and stops the relays and stand-ins of the cluster.
+// close kills the processes and stops the proxies and stand-ins of the cluster.
 func (c *cluster) close() {
 	c.mu.Lock()
 	procs := make([]*process, 0, len(c.procs))
@@ -145,8 +145,8 @@
 		<-p.done
 	}
 	c.cancel()
-	for _, r := range c.relays {
-		r.Close()
+	for _, p := range c.proxies {
+		p.Close()
 	}
 	for _, f := range c.closers {
 		f()
@@ -197,8 +197,8 @@
 	return errors.Join(fmt.Errorf("%s at %s: %w; end of its log:\n%s", p.name, p.baseURL, err, log[max(len(log)-maxLogTail, 0):]), readErr)
 }
 
-// start starts a process and puts its VM on the VM list. The listed address is that
-// of a relay, so that tests can cut the link to the process.
+// start starts a process and puts its VM on the VM list. The listed address is that of a TCP proxy, so
+// that tests can cut the link to the process.
 func (c *cluster) start(name, zone string, role []string) error {
 	return c.startWith(name, zone, role, nil)
 }
@@ -220,17 +220,17 @@
 	if err := c.launch(p); err != nil {
 		return err
 	}
-	relay, err := standin.NewRelay("127.0.0.1:0", peerAddr)
+	proxy, err := standin.NewTCPProxy("127.0.0.1:0", peerAddr)
 	if err != nil {
 		return err
 	}
-	c.relays[name] = relay
+	c.proxies[name] = proxy
 	c.listVM(name, zone, "live")
 	return c.waitServing(p)
 }
 
 func (c *cluster) listVM(name, zone, state string) {
-	c.control(c.storesURL+"/control/vms", map[string]string{"name": name, "zone": zone, "address": c.relays[name].Addr(), "state": state})
+	c.control(c.storesURL+"/control/vms", map[string]string{"name": name, "zone": zone, "address": c.proxies[name].Addr(), "state": state})
 }
 
 // control sends a value as JSON to a control endpoint of a stand-in.
@@ -419,7 +419,7 @@
 	if err != nil {
 		return err
 	}
-	if len(s.Peers) < len(c.relays) {
+	if len(s.Peers) < len(c.proxies) {
 		return errNotUp
 	}
 	for _, p := range s.Peers {
--- a/internal/scenario/measure_test.go
+++ b/internal/scenario/measure_test.go
@@ -65,12 +65,12 @@
 	c, entries := deployCluster(t, 1, 2, 0, 1)
 	var took []time.Duration
 	for n := range 10 {
-		c.relays["eng-2"].Cut(true)
+		c.proxies["eng-2"].Cut(true)
 		c.listVM("eng-2", "b", "gone")
 		if err := c.apply(entries[0], int64(n+1), c.configText()+fmt.Sprintf("# change %d\n", n)); err != nil {
 			t.Fatal(err)
 		}
-		c.relays["eng-2"].Cut(false)
+		c.proxies["eng-2"].Cut(false)
 		began := time.Now()
 		c.listVM("eng-2", "b", "live")
 		if err := c.waitReady(entries...); err != nil {
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -275,7 +275,7 @@
 // cmdCut implements cut on|off|reset NAME: it cuts the link to the process,
 // restores the link, or resets the open connections.
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	r := stateOf(ts).cluster.relays[args[1]]
+	r := stateOf(ts).cluster.proxies[args[1]]
 	switch args[0] {
 	case "reset":
 		r.Reset()
--- a/internal/sidecar/lateanswer_test.go
+++ b/internal/sidecar/lateanswer_test.go
@@ -38,7 +38,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return standin.NewHeldBack(c, time.Now().Add(stall)), nil
+				return standin.NewDelayedReadConn(c, time.Now().Add(stall)), nil
 			}
 			l := &serviceLink{base: s.URL, client: &http.Client{Transport: &http.Transport{DialContext: dial}}, fence: func() int64 { return 1 }, onAnswer: ignoreAnswer}
 			ctx, cancel := context.WithTimeout(t.Context(), limit)
--- a/internal/standin/chunks.go
+++ b/internal/standin/chunks.go
@@ -31,7 +31,7 @@
 
 // writeToken writes one token. It returns false when a fault ends the stream after this token.
 func (c *chunkWriter) writeToken(n int) bool {
-	text := fmt.Sprintf("%s.%d ", Tag(c.id), n)
+	text := fmt.Sprintf("%s.%d ", StreamTag(c.id), n)
 	for range 1 + c.faults.Repeat {
 		c.writeChunk(n, text, nil)
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -27,9 +27,9 @@
 	Speed float64
 	// LoadLag is the age of the load report that GET /load returns.
 	LoadLag time.Duration
-	// ChecksOrders makes the engine reject commands with a fencing token lower than the highest it has
+	// ChecksFencing makes the engine reject commands with a fencing token lower than the highest it has
 	// received.
-	ChecksOrders bool
+	ChecksFencing bool
 	// Seed seeds the random output lengths.
 	Seed uint64
 }
@@ -244,7 +244,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.settings.ChecksOrders && command.Fence < e.highestFence {
+	if e.settings.ChecksFencing && command.Fence < e.highestFence {
 		e.counts["fenced"]++
 		http.Error(w, "fencing token is too old", http.StatusConflict)
 		return
@@ -356,13 +356,13 @@
 		Prompt:   c.promptTokens(),
 		Output:   max(1, out),
 		Priority: priority,
-		Prefix:   Prefix(text, e.settings.Model.BlockTokens),
+		Prefix:   PrefixHashes(text, e.settings.Model.BlockTokens),
 	}
 }
 
-// Prefix returns the chained hashes of the full blocks of a prompt: each hash covers its block and all
-// blocks before it.
-func Prefix(text string, blockTokens int) []uint64 {
+// PrefixHashes returns the chained hashes of the full blocks of a prompt: each hash covers its block
+// and all blocks before it.
+func PrefixHashes(text string, blockTokens int) []uint64 {
 	h := fnv.New64a()
 	size := blockTokens * bytesPerToken
 	var out []uint64
@@ -460,9 +460,9 @@
 	}
 }
 
-// Tag returns the prefix of all token texts of one stream. Readers use it to detect a token that belongs
-// to another generation.
-func Tag(id string) string {
+// StreamTag returns the prefix of all token texts of one stream. Readers use it to detect a token that
+// belongs to another generation.
+func StreamTag(id string) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return fmt.Sprintf("%08x", h.Sum32())
--- a/internal/standin/heldback.go
+++ b/internal/standin/heldback.go
@@ -11,9 +11,11 @@
 	until time.Time
 }
 
-// NewHeldBack returns a connection whose reads block until the given time. It simulates a receiver whose
-// process is not scheduled while its peer keeps sending.
-func NewHeldBack(c net.Conn, until time.Time) net.Conn { return &delayedConn{c.(*net.TCPConn), until} }
+// NewDelayedReadConn returns a connection whose reads block until the given time. It simulates a receiver
+// whose process is not scheduled while its peer keeps sending.
+func NewDelayedReadConn(c net.Conn, until time.Time) net.Conn {
+	return &delayedConn{c.(*net.TCPConn), until}
+}
 
 // Read waits until reads are allowed.
 func (c *delayedConn) Read(b []byte) (int, error) {
--- a/internal/standin/main.go
+++ b/internal/standin/main.go
@@ -16,12 +16,12 @@
 )
 
 type engineArguments struct {
-	Listen       string        `arg:"--listen,required" help:"address to listen on"`
-	Speed        float64       `arg:"--speed" default:"1" help:"speed relative to real time"`
-	Blocks       int           `arg:"--blocks" default:"2000" help:"number of KV blocks"`
-	LoadLag      time.Duration `arg:"--load-lag" default:"500ms" help:"age of the load report"`
-	ChecksOrders bool          `arg:"--checks-orders" help:"reject commands with an old fencing token"`
-	Seed         uint64        `arg:"--seed" default:"1" help:"seed of the random output lengths"`
+	Listen        string        `arg:"--listen,required" help:"address to listen on"`
+	Speed         float64       `arg:"--speed" default:"1" help:"speed relative to real time"`
+	Blocks        int           `arg:"--blocks" default:"2000" help:"number of KV blocks"`
+	LoadLag       time.Duration `arg:"--load-lag" default:"500ms" help:"age of the load report"`
+	ChecksFencing bool          `arg:"--checks-orders" help:"reject commands with an old fencing token"`
+	Seed          uint64        `arg:"--seed" default:"1" help:"seed of the random output lengths"`
 }
 
 type listenArguments struct {
@@ -72,14 +72,14 @@
 		model.Blocks = a.Engine.Blocks
 		e := NewEngine(EngineSettings{
 			Model: model, Speed: a.Engine.Speed, LoadLag: a.Engine.LoadLag,
-			ChecksOrders: a.Engine.ChecksOrders, Seed: a.Engine.Seed,
+			ChecksFencing: a.Engine.ChecksFencing, Seed: a.Engine.Seed,
 		})
 		go e.Run(ctx)
 		return serve(ctx, a.Engine.Listen, e.Handler())
 	case a.Service != nil:
 		return serve(ctx, a.Service.Listen, NewService().Handler())
 	case a.Relay != nil:
-		r, err := NewRelay(a.Relay.Listen, a.Relay.To)
+		r, err := NewTCPProxy(a.Relay.Listen, a.Relay.To)
 		if err != nil {
 			return err
 		}
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -11,9 +11,9 @@
 	"github.com/sparshore/sparshore/internal/platform"
 )
 
-// Rows is an in-memory store of records. All tables share one version counter, readers can follow the
-// changes of a table, and the store can be restored from an older copy.
-type Rows struct {
+// RecordStore is an in-memory store of records. All tables share one version counter, readers can follow the
+// changes of a table, and the store can be restored from a backup.
+type RecordStore struct {
 	mu      sync.Mutex
 	records map[string]platform.Record
 	version int64
@@ -22,19 +22,19 @@
 	started time.Time
 }
 
-// RowsCopy is a backup of a Rows.
-type RowsCopy struct {
+// RecordStoreBackup is a backup of a RecordStore.
+type RecordStoreBackup struct {
 	records map[string]platform.Record
 	version int64
 }
 
-// NewRows returns an empty store in its first epoch.
-func NewRows() *Rows {
-	return &Rows{records: map[string]platform.Record{}, epoch: 1, changed: make(chan struct{}), started: time.Now()}
+// NewRecordStore returns an empty store in its first epoch.
+func NewRecordStore() *RecordStore {
+	return &RecordStore{records: map[string]platform.Record{}, epoch: 1, changed: make(chan struct{}), started: time.Now()}
 }
 
-// Platform returns the store behind the interface that the product uses.
-func (r *Rows) Platform() *platform.Store {
+// Store returns the store behind the interface that the product uses.
+func (r *RecordStore) Store() *platform.Store {
 	return &platform.Store{
 		List: r.list, Changes: r.changes,
 		Put: func(_ context.Context, table, name string, value []byte) error {
@@ -49,12 +49,12 @@
 }
 
 // Put writes a record and returns its version.
-func (r *Rows) Put(table, name, value string) int64 {
+func (r *RecordStore) Put(table, name, value string) int64 {
 	return r.write(table, platform.Record{Name: name, Value: []byte(value)})
 }
 
 // Remove writes a tombstone for each record, all with the same version, and returns that version.
-func (r *Rows) Remove(table string, names ...string) int64 {
+func (r *RecordStore) Remove(table string, names ...string) int64 {
 	list := make([]platform.Record, 0, len(names))
 	for _, n := range names {
 		list = append(list, platform.Record{Name: n, Gone: true})
@@ -62,7 +62,7 @@
 	return r.write(table, list...)
 }
 
-func (r *Rows) write(table string, list ...platform.Record) int64 {
+func (r *RecordStore) write(table string, list ...platform.Record) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -75,21 +75,21 @@
 }
 
 // notifyWaiters wakes the calls that wait for a change. The caller holds r.mu.
-func (r *Rows) notifyWaiters() {
+func (r *RecordStore) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Copy returns a backup of all tables.
-func (r *Rows) Copy() RowsCopy {
+// Backup returns a backup of all tables.
+func (r *RecordStore) Backup() RecordStoreBackup {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RowsCopy{records: maps.Clone(r.records), version: r.version}
+	return RecordStoreBackup{records: maps.Clone(r.records), version: r.version}
 }
 
-// ComeBack restores all tables from a backup and starts the next epoch. Calls that wait for a change fail
+// Restore restores all tables from a backup and starts the next epoch. Calls that wait for a change fail
 // with platform.ErrHistoryGone.
-func (r *Rows) ComeBack(c RowsCopy) {
+func (r *RecordStore) Restore(c RecordStoreBackup) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records, r.version = maps.Clone(c.records), c.version
@@ -98,13 +98,13 @@
 }
 
 // Version returns the version of the newest change.
-func (r *Rows) Version() int64 {
+func (r *RecordStore) Version() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version
 }
 
-func (r *Rows) list(_ context.Context, table string) (platform.Snapshot, error) {
+func (r *RecordStore) list(_ context.Context, table string) (platform.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.snapshot(table, -1)
@@ -114,7 +114,7 @@
 
 // snapshot returns the records of a table that are newer than a version, ordered by version. The caller
 // holds r.mu.
-func (r *Rows) snapshot(table string, after int64) platform.Snapshot {
+func (r *RecordStore) snapshot(table string, after int64) platform.Snapshot {
 	s := platform.Snapshot{Version: r.version, Epoch: r.epoch, Clock: time.Since(r.started)}
 	for key, record := range r.records {
 		if name, ok := strings.CutPrefix(key, table+"/"); ok && name == record.Name && record.Version > after {
@@ -125,7 +125,7 @@
 	return s
 }
 
-func (r *Rows) changes(ctx context.Context, table string, after int64, wait time.Duration) (platform.Snapshot, error) {
+func (r *RecordStore) changes(ctx context.Context, table string, after int64, wait time.Duration) (platform.Snapshot, error) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	r.mu.Lock()
