--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -168,13 +168,13 @@
 }
 
 func (s *simulation) step() {
-	batch := s.engine.Batch()
+	batch := s.engine.BatchSize()
 	took, tokens := s.engine.Step()
 	s.now += took
 	for _, t := range tokens {
 		s.token(s.requests[t.ID()], t.Last())
 	}
-	s.contender.step(max(batch, s.engine.Batch()), took)
+	s.contender.step(max(batch, s.engine.BatchSize()), took)
 	s.reportLoad()
 	if s.cond.crashAt > 0 && s.now >= s.cond.crashAt {
 		s.cond.crashAt = 0
@@ -186,7 +186,7 @@
 	if s.cond.reportLag == 0 {
 		return
 	}
-	s.reports = append(s.reports, report{s.now, s.engine.Used()})
+	s.reports = append(s.reports, report{s.now, s.engine.UsedBlocks()})
 	if r := s.reports[0]; r.at <= s.now-s.cond.reportLag {
 		s.contender.report(r.used, epoch.Add(r.at))
 		s.reports = s.reports[1:]
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -60,10 +60,10 @@
 	Priority int
 	// Prefix holds the chained hashes of the full blocks of the prompt.
 	Prefix []uint64
-	// Computed is the number of prompt tokens whose KV memory was copied from another engine. They are
+	// CopiedTokens is the number of prompt tokens whose KV memory was copied from another engine. They are
 	// recomputed only after a preemption or pause that frees this memory. Such a job goes to the head
 	// of the queue.
-	Computed int
+	CopiedTokens int
 }
 
 type stream struct {
@@ -78,16 +78,16 @@
 
 // Token is one output token of a step.
 type Token struct {
-	id   string
-	n    int
-	last bool
+	id       string
+	position int
+	last     bool
 }
 
 // ID returns the ID of the stream.
 func (t Token) ID() string { return t.id }
 
-// N returns the position of the token in its stream, starting at 1.
-func (t Token) N() int { return t.n }
+// Position returns the position of the token in its stream, starting at 1.
+func (t Token) Position() int { return t.position }
 
 // Last reports whether this is the last token of the stream.
 func (t Token) Last() bool { return t.last }
@@ -110,14 +110,14 @@
 	return &Engine{settings: settings, paused: map[string]*stream{}, cache: newPrefixCache()}
 }
 
-// Used returns the number of KV blocks in use by streams and by Hold.
-func (e *Engine) Used() int { return e.usedBlocks }
+// UsedBlocks returns the number of KV blocks in use by streams and by Reserve.
+func (e *Engine) UsedBlocks() int { return e.usedBlocks }
 
 // Settings returns the settings of the engine.
 func (e *Engine) Settings() Settings { return e.settings }
 
-// Batch returns the number of streams in the batch.
-func (e *Engine) Batch() int { return len(e.running) }
+// BatchSize returns the number of streams in the batch.
+func (e *Engine) BatchSize() int { return len(e.running) }
 
 // Queued returns the number of streams that wait for memory or for a place in the batch.
 func (e *Engine) Queued() int { return len(e.queue) }
@@ -149,9 +149,9 @@
 	return e.paused[id]
 }
 
-// Hold reserves KV memory for a number of tokens, such as for a copy in transfer from another engine. It
-// returns false if there is not enough free memory. Drop releases the reservation.
-func (e *Engine) Hold(tokens int) bool {
+// Reserve reserves KV memory for a number of tokens, such as for a copy in transfer from another engine. It
+// returns false if there is not enough free memory. Release frees the reservation.
+func (e *Engine) Reserve(tokens int) bool {
 	need := e.blocksFor(tokens)
 	if e.usedBlocks+need > e.settings.Blocks {
 		return false
@@ -160,13 +160,13 @@
 	return true
 }
 
-// Drop releases a reservation that Hold made for the same number of tokens.
-func (e *Engine) Drop(tokens int) { e.usedBlocks -= e.blocksFor(tokens) }
+// Release frees a reservation that Reserve made for the same number of tokens.
+func (e *Engine) Release(tokens int) { e.usedBlocks -= e.blocksFor(tokens) }
 
 // enqueue inserts a stream into the queue in the order of priority and arrival. Streams with copied
 // memory go first.
 func (e *Engine) enqueue(s *stream) {
-	if s.job.Computed > 0 {
+	if s.job.CopiedTokens > 0 {
 		e.queue = slices.Insert(e.queue, 0, s)
 		return
 	}
@@ -254,9 +254,9 @@
 		s.blocks = need
 		e.usedBlocks += need
 		hit := e.cache.cachedBlocks(s.job.Prefix) * e.settings.BlockTokens
-		s.toCompute = max(1, s.tokens()-max(hit, s.job.Computed))
-		copied := s.job.Computed > 0
-		s.job.Computed = 0
+		s.toCompute = max(1, s.tokens()-max(hit, s.job.CopiedTokens))
+		copied := s.job.CopiedTokens > 0
+		s.job.CopiedTokens = 0
 		e.cache.store(s.job.Prefix)
 		if copied {
 			// The few tokens that the copy lacks are computed before the prompts of other streams.
@@ -326,7 +326,7 @@
 		}
 		s.generated++
 		last := s.generated >= s.job.Output
-		e.tokens = append(e.tokens, Token{id: s.job.ID, n: s.generated, last: last})
+		e.tokens = append(e.tokens, Token{id: s.job.ID, position: s.generated, last: last})
 		if last {
 			e.usedBlocks -= s.blocks
 			continue
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -44,8 +44,8 @@
 			default:
 				stepAndCheckTokens(t, e, got)
 			}
-			if e.Used() < 0 || (e.Used() > s.Blocks && e.Batch() > 1) {
-				t.Fatalf("used %d of %d blocks", e.Used(), s.Blocks)
+			if e.UsedBlocks() < 0 || (e.UsedBlocks() > s.Blocks && e.BatchSize() > 1) {
+				t.Fatalf("used %d of %d blocks", e.UsedBlocks(), s.Blocks)
 			}
 		}
 		for _, id := range paused {
@@ -61,8 +61,8 @@
 				t.Fatalf("stream %s has %d of %d tokens", id, got[id], n)
 			}
 		}
-		if e.Used() != 0 {
-			t.Fatalf("%d blocks still in use after all streams ended", e.Used())
+		if e.UsedBlocks() != 0 {
+			t.Fatalf("%d blocks still in use after all streams ended", e.UsedBlocks())
 		}
 	})
 }
@@ -71,8 +71,8 @@
 	_, tokens := e.Step()
 	for _, k := range tokens {
 		got[k.ID()]++
-		if k.N() != got[k.ID()] {
-			t.Fatalf("stream %s: token at position %d has number %d", k.ID(), got[k.ID()], k.N())
+		if k.Position() != got[k.ID()] {
+			t.Fatalf("stream %s: token at position %d has number %d", k.ID(), got[k.ID()], k.Position())
 		}
 	}
 }
--- a/internal/placement/replay/pool.go
+++ b/internal/placement/replay/pool.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		target := s.engine(u.ID)
-		room := target.model.Hold(held)
+		room := target.model.Reserve(held)
 		s.moveRoom.Record(room, s.start.Add(s.now))
 		if !room {
 			continue
@@ -107,7 +107,7 @@
 		if g := s.running[id]; g.target != nil && s.now >= g.copyDoneAt {
 			// Cancel cannot fail: the generation runs at this engine.
 			_ = g.host.model.Cancel(g.id)
-			g.target.model.Drop(g.copiedTokens)
+			g.target.model.Release(g.copiedTokens)
 			s.submit(g, g.target, g.copiedTokens)
 		}
 	}
@@ -136,7 +136,7 @@
 		} else if s.now-g.lastToken > maxTokenGap {
 			g.stalled = true
 		}
-		g.generated, g.lastToken = g.generatedBefore+t.N(), s.now
+		g.generated, g.lastToken = g.generatedBefore+t.Position(), s.now
 		if t.Last() {
 			s.finish(g)
 		}
--- a/internal/placement/replay/replay.go
+++ b/internal/placement/replay/replay.go
@@ -250,8 +250,8 @@
 	return s.engines[slices.IndexFunc(s.engines, func(e *engine) bool { return e.id == id })]
 }
 
-// submit sends a generation to an engine that already holds the KV memory of computed tokens.
-func (s *simulation) submit(g *generation, e *engine, computed int) {
+// submit sends a generation to an engine that already holds the KV memory of copied tokens.
+func (s *simulation) submit(g *generation, e *engine, copied int) {
 	rank := 0
 	if s.variant.SendRanks {
 		rank = g.kind.Rank
@@ -262,13 +262,13 @@
 		s.runningIDs = append(s.runningIDs, g.id)
 	}
 	// Submit cannot fail: the IDs are made by this package and unique.
-	_ = e.model.Submit(enginemodel.Job{ID: g.id, Prompt: g.prompt + g.generated, Output: g.output - g.generated, Priority: rank, Computed: computed})
+	_ = e.model.Submit(enginemodel.Job{ID: g.id, Prompt: g.prompt + g.generated, Output: g.output - g.generated, Priority: rank, CopiedTokens: copied})
 }
 
 // remove removes a generation that has ended, and releases the memory held for its copy.
 func (s *simulation) remove(g *generation) {
 	if g.target != nil {
-		g.target.model.Drop(g.copiedTokens)
+		g.target.model.Release(g.copiedTokens)
 	}
 	delete(s.running, g.id)
 	s.runningIDs = slices.DeleteFunc(s.runningIDs, func(id string) bool { return id == g.id })
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -147,7 +147,7 @@
 	for _, t := range tokens {
 		e.counts["tokens"]++
 		if progress, ok := e.streams[t.ID()]; ok {
-			progress.decoded, progress.finished = t.N(), t.Last()
+			progress.decoded, progress.finished = t.Position(), t.Last()
 			progress.notify()
 		}
 	}
@@ -161,9 +161,9 @@
 func (e *Engine) recordReports() {
 	report := loadReport{
 		At:          time.Now().UnixMilli(),
-		Running:     e.model.Batch(),
+		Running:     e.model.BatchSize(),
 		Queued:      e.model.Queued(),
-		BlocksUsed:  e.model.Used(),
+		BlocksUsed:  e.model.UsedBlocks(),
 		Blocks:      e.settings.Model.Blocks,
 		BlockTokens: e.settings.Model.BlockTokens,
 		Preemptions: e.model.Preemptions(),
@@ -223,7 +223,7 @@
 func (e *Engine) getCounts(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counts["running"] = e.model.Batch() + e.model.Queued()
+	e.counts["running"] = e.model.BatchSize() + e.model.Queued()
 	e.counts["preemptions"] = e.model.Preemptions()
 	writeJSON(w, e.counts)
 }
