--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -21,7 +21,7 @@
 	Spread    float64       `arg:"--spread" default:"1" help:"standard deviation of the logarithm of output tokens"`
 	MaxOutput int           `arg:"--max-output" default:"4096" help:"maximum output tokens of a request"`
 	Resume    bool          `arg:"--resume" help:"resume broken streams at the next entry"`
-	Within    time.Duration `arg:"--within" default:"2m" help:"time limit of one request"`
+	Timeout   time.Duration `arg:"--within" default:"2m" help:"time limit of one request"`
 }
 
 // errBreach is returned when a stream repeated, omitted or reordered tokens, or contained tokens of
@@ -31,7 +31,7 @@
 func (c *loadCommand) run(env *environment) error {
 	r, err := loadgen.Run(context.Background(), loadgen.Options{
 		URLs: c.URLs, Key: c.Key, Model: c.Model, Requests: c.Requests, Rate: c.Rate, Seed: c.Seed,
-		Prompt: c.Prompt, Output: c.Output, Spread: c.Spread, MaxOutput: c.MaxOutput, Resume: c.Resume, Within: c.Within,
+		Prompt: c.Prompt, Output: c.Output, Spread: c.Spread, MaxOutput: c.MaxOutput, Resume: c.Resume, Timeout: c.Timeout,
 	})
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 		return err
 	}
 	if r.Breaches > 0 {
-		return fmt.Errorf("%w: %d, first: %s", errBreach, r.Breaches, r.FirstFail)
+		return fmt.Errorf("%w: %d, first: %s", errBreach, r.Breaches, r.FirstBreach)
 	}
 	return nil
 }
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -45,29 +45,29 @@
 	Direct bool
 	// Resume continues broken streams through the next entry.
 	Resume bool
-	// Within is the time limit of a request, including its resumptions.
-	Within time.Duration
+	// Timeout is the time limit of a request, including its resumptions.
+	Timeout time.Duration
 }
 
 // Report holds the outcomes and latencies that the callers observed.
 type Report struct {
-	Asked     int     `json:"asked"`
-	Whole     int     `json:"whole"`
-	Cut       int     `json:"cut"`
-	Refused   int     `json:"refused"`
-	Broken    int     `json:"broken"`
-	Resumed   int     `json:"resumed"`
-	Tokens    int64   `json:"tokens"`
-	Seconds   float64 `json:"seconds"`
-	Breaches  int     `json:"breaches"`
-	FirstP50  float64 `json:"first_token_ms_p50"`
-	FirstP99  float64 `json:"first_token_ms_p99"`
-	GapP50    float64 `json:"token_gap_ms_p50"`
-	GapP95    float64 `json:"token_gap_ms_p95"`
-	GapP99    float64 `json:"token_gap_ms_p99"`
-	StallSum  float64 `json:"stall_s_sum"`
-	StallP99  float64 `json:"stall_ms_p99"`
-	FirstFail string  `json:"first_breach,omitempty"`
+	Asked       int     `json:"asked"`
+	Whole       int     `json:"whole"`
+	Cut         int     `json:"cut"`
+	Refused     int     `json:"refused"`
+	Broken      int     `json:"broken"`
+	Resumed     int     `json:"resumed"`
+	Tokens      int64   `json:"tokens"`
+	Seconds     float64 `json:"seconds"`
+	Breaches    int     `json:"breaches"`
+	FirstP50    float64 `json:"first_token_ms_p50"`
+	FirstP99    float64 `json:"first_token_ms_p99"`
+	GapP50      float64 `json:"token_gap_ms_p50"`
+	GapP95      float64 `json:"token_gap_ms_p95"`
+	GapP99      float64 `json:"token_gap_ms_p99"`
+	StallSum    float64 `json:"stall_s_sum"`
+	StallP99    float64 `json:"stall_ms_p99"`
+	FirstBreach string  `json:"first_breach,omitempty"`
 }
 
 // Check returns ErrTarget unless all addresses are on loopback.
@@ -152,7 +152,7 @@
 // runRequest sends one request and reads its stream to the end. If Resume is set, it resumes the stream
 // after broken connections.
 func (o Options) runRequest(ctx context.Context, client *http.Client, c *collector, i int, body string) {
-	ctx, cancel := context.WithTimeout(ctx, o.Within)
+	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	s := &stream{now: time.Now, started: time.Now(), direct: o.Direct}
 	var e streamEnd
@@ -190,8 +190,8 @@
 	}
 	if s.breach != nil {
 		r.Breaches++
-		if r.FirstFail == "" {
-			r.FirstFail = s.breach.Error()
+		if r.FirstBreach == "" {
+			r.FirstBreach = s.breach.Error()
 		}
 	}
 	if s.tokens > 0 {
--- a/internal/scenario/measure_test.go
+++ b/internal/scenario/measure_test.go
@@ -120,7 +120,7 @@
 	t.Helper()
 	c, url := deployWithEngine(t, fastEngine(), "SPARSHORE_TOKEN_GAP=0s", "SPARSHORE_BLOCKS=1000000", "SPARSHORE_MAX_BATCH=1024")
 	entry, side := c.proc("entry-1").cmd.Process.Pid, c.proc("eng-1").cmd.Process.Pid
-	o := loadgen.Options{Key: apiKey, Model: modelName, Requests: streams, Rate: float64(streams) * 2, Prompt: 64, Output: 300, MaxOutput: 300, Within: time.Minute}
+	o := loadgen.Options{Key: apiKey, Model: modelName, Requests: streams, Rate: float64(streams) * 2, Prompt: 64, Output: 300, MaxOutput: 300, Timeout: time.Minute}
 	run := func(address string) loadgen.Report {
 		o.URLs = []string{address}
 		o.Direct = address == url
@@ -181,7 +181,7 @@
 	c, _ := deployWithEngine(t, engine, append(settings, "SPARSHORE_START_WITHIN=7s")...)
 	r, err := loadgen.Run(context.Background(), loadgen.Options{
 		URLs: []string{c.proc("entry-1").baseURL}, Key: apiKey, Model: modelName, Requests: 1000, Rate: 36,
-		Seed: 5, Prompt: 64, Output: 60, Spread: 1.2, MaxOutput: 4096, Within: 2 * time.Minute,
+		Seed: 5, Prompt: 64, Output: 60, Spread: 1.2, MaxOutput: 4096, Timeout: 2 * time.Minute,
 	})
 	if err != nil || r.Breaches > 0 {
 		t.Fatalf("%s: %+v, %v", name, r, err)
