--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -247,7 +247,7 @@
 	}, b.store, b.relayLog, b.relayPeers, b.listed, b.rec, time.Now)
 	b.routes = belief.NewRoutes(platform.RowRoutes, platform.DecodeRoutes, b.rec, time.Now)
 	b.fleet = fleet.New(b.rec, time.Now, func(id string) { b.gateway.Evacuate(id) })
-	b.upstreams = newUpstreamRows(platform.DecodeUpstream, b.fleet, newBadRows(events.UpstreamRejected, platform.Reason, b.reg, b.rec, time.Now))
+	b.upstreams = newUpstreamRows(platform.DecodeUpstream, b.fleet, newBadRows(events.UpstreamRejected, platform.RejectReason, b.reg, b.rec, time.Now))
 	proto := platform.NewProtocol()
 	b.pool = link.New(link.Settings{DialTimeout: dialTimeout, DefaultIdleTimeout: defaultUpstreamIdle, IdleMargin: upstreamIdleMargin, HeadGrace: cancelledHeadTimeout, IDHeader: proto.IDHeader}, dialer(), time.Now)
 	b.gateway = gateway.New(gateway.Settings{
--- a/internal/daemon/gatewaystore.go
+++ b/internal/daemon/gatewaystore.go
@@ -43,7 +43,7 @@
 // applyOperators returns a function that applies the rows that operators write: the route table and
 // the zones that they closed.
 func (b *gatewayBuilder) applyOperators() func(s product.Snapshot, full bool) {
-	zones := belief.NewZones(platform.ClosedZone, b.fleet.CloseZones)
+	zones := belief.NewZones(platform.EvacuatedZone, b.fleet.CloseZones)
 	return func(s product.Snapshot, full bool) {
 		b.routes.Apply(s, full)
 		if row, ok := b.routes.NewerThanStore(); ok {
