--- a/internal/belief/anchor.go
+++ b/internal/belief/anchor.go
@@ -16,7 +16,7 @@
 	stamp := func(s platform.Snapshot, sent time.Time) platform.Snapshot {
 		mu.Lock()
 		defer mu.Unlock()
-		s.Made = a.observe(s.Clock, sent, now())
+		s.AsOf = a.observe(s.Clock, sent, now())
 		return s
 	}
 	out := *store
--- a/internal/belief/epochs_test.go
+++ b/internal/belief/epochs_test.go
@@ -33,7 +33,7 @@
 		clear(f.applied)
 	}
 	for _, r := range s.Records {
-		if r.Gone {
+		if r.Removed {
 			delete(f.applied, r.Name)
 			continue
 		}
--- a/internal/belief/follower.go
+++ b/internal/belief/follower.go
@@ -161,7 +161,7 @@
 		f.apply(s, full)
 		defer f.sleep(ctx, f.gatherPause(f.now().Sub(sent)))
 	}
-	made := s.Made
+	made := s.AsOf
 	if made.IsZero() {
 		made = sent
 	}
--- a/internal/belief/follower_test.go
+++ b/internal/belief/follower_test.go
@@ -157,7 +157,7 @@
 			s := newScriptedFollower(answerWith(1, "a"), nil, answerWith(2))
 			s.answers[1] = func() (platform.Snapshot, error) {
 				snap, err := answerWith(2, "b")()
-				snap.Made = s.at.Add(-tc.age)
+				snap.AsOf = s.at.Add(-tc.age)
 				return snap, err
 			}
 			s.sleep = func(context.Context, time.Duration) { s.at = s.at.Add(pause) }
@@ -197,7 +197,7 @@
 
 func TestConfirmationTimeIsWhenTheAnswerWasMade(t *testing.T) {
 	made := time.Now().Add(-time.Minute)
-	s := newScriptedFollower(func() (platform.Snapshot, error) { return platform.Snapshot{Version: 1, Made: made}, nil })
+	s := newScriptedFollower(func() (platform.Snapshot, error) { return platform.Snapshot{Version: 1, AsOf: made}, nil })
 	s.run(t)
 	if !s.confirm.Equal(made) {
 		t.Errorf("confirmed as of %s, want the time at which the answer was produced, %s", s.confirm, made)
--- a/internal/belief/routes.go
+++ b/internal/belief/routes.go
@@ -49,7 +49,7 @@
 // Apply processes an answer of the store.
 func (r *Routes) Apply(s platform.Snapshot, _ bool) {
 	for _, rec := range s.Records {
-		if rec.Name == r.name && !rec.Gone {
+		if rec.Name == r.name && !rec.Removed {
 			r.applyStored(rec, s.Restored)
 		}
 	}
@@ -58,7 +58,7 @@
 // Adopt puts the table of another entry in force if it is later than the current one.
 func (r *Routes) Adopt(entry string, records []platform.Record) {
 	for _, rec := range records {
-		if rec.Name != r.name || rec.Gone {
+		if rec.Name != r.name || rec.Removed {
 			continue
 		}
 		table, err := r.safeDecode(rec)
--- a/internal/belief/zones.go
+++ b/internal/belief/zones.go
@@ -32,7 +32,7 @@
 		zone, ok := z.zoneOf(r.Name)
 		switch {
 		case !ok:
-		case r.Gone:
+		case r.Removed:
 			delete(closed, zone)
 		default:
 			closed[zone] = true
--- a/internal/belief/zones_test.go
+++ b/internal/belief/zones_test.go
@@ -11,7 +11,7 @@
 
 func TestZones(t *testing.T) {
 	row := func(name string) platform.Record { return platform.Record{Name: name} }
-	gone := func(name string) platform.Record { return platform.Record{Name: name, Gone: true} }
+	removed := func(name string) platform.Record { return platform.Record{Name: name, Removed: true} }
 	for _, tc := range []struct {
 		name    string
 		answers [][]platform.Record
@@ -22,8 +22,8 @@
 	}{
 		{"other rows close no zone", [][]platform.Record{{row("config")}}, []bool{true}, "", 0},
 		{"a zone is closed", [][]platform.Record{{row("closed/a")}}, []bool{false}, "a", 1},
-		{"a zone is closed and opened again", [][]platform.Record{{row("closed/a")}, {gone("closed/a")}}, []bool{false, false}, "", 2},
-		{"a zone is closed and opened within one answer", [][]platform.Record{{row("closed/a"), gone("closed/a")}}, []bool{false}, "", 0},
+		{"a zone is closed and opened again", [][]platform.Record{{row("closed/a")}, {removed("closed/a")}}, []bool{false, false}, "", 2},
+		{"a zone is closed and opened within one answer", [][]platform.Record{{row("closed/a"), removed("closed/a")}}, []bool{false}, "", 0},
 		{"the whole table lacks the row of a closed zone", [][]platform.Record{{row("closed/a"), row("closed/b")}, {row("closed/b")}}, []bool{true, true}, "b", 2},
 		{"changes do not affect other zones", [][]platform.Record{{row("closed/a")}, {row("closed/b")}}, []bool{true, false}, "a b", 2},
 		{"nothing changes", [][]platform.Record{{row("closed/a")}, {row("closed/a")}, {}}, []bool{true, false, false}, "a", 1},
--- a/internal/daemon/badrows_test.go
+++ b/internal/daemon/badrows_test.go
@@ -63,7 +63,7 @@
 		{"two rows", [][]product.Record{{withVersion(invalidRow("a"), 1), withVersion(invalidRow("b"), 1)}}, true, 2, 2, 2},
 		{"row becomes valid", [][]product.Record{{withVersion(invalidRow("a"), 1)}, {withVersion(validRow("a"), 2)}}, false, 1, 1, 0},
 		{"row becomes valid and invalid again", [][]product.Record{{withVersion(invalidRow("a"), 1)}, {withVersion(validRow("a"), 2)}, {withVersion(invalidRow("a"), 3)}}, false, 2, 2, 1},
-		{"row is removed", [][]product.Record{{withVersion(invalidRow("a"), 1)}, {goneRow("a")}}, false, 1, 1, 0},
+		{"row is removed", [][]product.Record{{withVersion(invalidRow("a"), 1)}, {removedRow("a")}}, false, 1, 1, 0},
 		{"row is missing in a complete read", [][]product.Record{{withVersion(invalidRow("a"), 1)}, {validRow("b")}}, true, 1, 1, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -80,7 +80,7 @@
 		ctx:      ctx,
 		cancel:   cancel,
 	}
-	platform.Count(n.table, n.objects, n.vms, reg)
+	platform.CountCalls(n.table, n.objects, n.vms, reg)
 	return n
 }
 
--- a/internal/daemon/upstreamrows.go
+++ b/internal/daemon/upstreamrows.go
@@ -38,7 +38,7 @@
 
 // changes decodes changed rows. An answer may hold several changes of the same row, in order. Only
 // the last one is used.
-func (u *upstreamRows) changes(rows []product.Record, full bool) (records []fleet.Record, unreadable []string, gone []fleet.Removal) {
+func (u *upstreamRows) changes(rows []product.Record, full bool) (records []fleet.Record, unreadable []string, removed []fleet.Removal) {
 	lastIndex := make(map[string]int, len(rows))
 	for i, row := range rows {
 		lastIndex[row.Name] = i
@@ -50,9 +50,9 @@
 		if lastIndex[row.Name] != i {
 			continue
 		}
-		if row.Gone {
+		if row.Removed {
 			u.bad.remove(row.Name)
-			gone = append(gone, fleet.Removal{Name: row.Name, Version: row.Version})
+			removed = append(removed, fleet.Removal{Name: row.Name, Version: row.Version})
 			continue
 		}
 		var r fleet.Record
@@ -69,5 +69,5 @@
 		r.Version = row.Version
 		records = append(records, r)
 	}
-	return records, unreadable, gone
+	return records, unreadable, removed
 }
--- a/internal/daemon/upstreamrows_test.go
+++ b/internal/daemon/upstreamrows_test.go
@@ -34,7 +34,7 @@
 
 func invalidRow(name string) product.Record { return product.Record{Name: name, Value: []byte("{")} }
 
-func goneRow(name string) product.Record { return product.Record{Name: name, Gone: true} }
+func removedRow(name string) product.Record { return product.Record{Name: name, Removed: true} }
 
 // rowsFixture is an upstreamRows with a fleet that records which upstreams left.
 type rowsFixture struct {
@@ -70,11 +70,11 @@
 		bad     []string
 		gone    []string
 	}{
-		{"row added and row removed", []product.Record{validRow("a"), goneRow("b")}, []string{"a"}, nil, []string{"b"}},
-		{"row removed and added in one answer is present", []product.Record{goneRow("a"), validRow("a")}, []string{"a"}, nil, nil},
-		{"row added and removed in one answer is gone", []product.Record{validRow("a"), goneRow("a")}, nil, nil, []string{"a"}},
+		{"row added and row removed", []product.Record{validRow("a"), removedRow("b")}, []string{"a"}, nil, []string{"b"}},
+		{"row removed and added in one answer is present", []product.Record{removedRow("a"), validRow("a")}, []string{"a"}, nil, nil},
+		{"row added and removed in one answer is gone", []product.Record{validRow("a"), removedRow("a")}, nil, nil, []string{"a"}},
 		{"invalid row is present and does not affect others", []product.Record{invalidRow("a"), validRow("b")}, []string{"b"}, []string{"a"}, nil},
-		{"row that became invalid and was removed is gone", []product.Record{invalidRow("a"), goneRow("a")}, nil, nil, []string{"a"}},
+		{"row that became invalid and was removed is gone", []product.Record{invalidRow("a"), removedRow("a")}, nil, nil, []string{"a"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			records, unreadable, goneRecords := newRowsFixture().changes(tc.rows, false)
@@ -122,7 +122,7 @@
 		{"row becomes valid again", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a")}}, {false, []product.Record{validRow("a")}}}, []string{"a"}, nil},
 		{"invalid and valid again in one answer", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a"), validRow("a")}}}, []string{"a"}, nil},
 		{"valid and invalid again in one answer", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{validRow("a"), invalidRow("a")}}}, nil, nil},
-		{"invalid row is removed", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a")}}, {false, []product.Record{goneRow("a")}}}, nil, []string{"a"}},
+		{"invalid row is removed", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a")}}, {false, []product.Record{removedRow("a")}}}, nil, []string{"a"}},
 		{"invalid row is missing in a complete read", []answer{{true, []product.Record{validRow("a")}}, {false, []product.Record{invalidRow("a")}}, {true, nil}}, nil, []string{"a"}},
 		{"two rows with the same address", []answer{{true, []product.Record{validRow("a"), validRow("b")}}}, []string{"a", "b"}, nil},
 	} {
@@ -161,7 +161,7 @@
 		gone    []string
 	}{
 		{"row with an invalid start time does not affect others", []product.Record{bornRow("a", "1.5"), bornRow("b", "7")}, []string{"b"}, nil},
-		{"last of two incarnations in one answer is used", []product.Record{bornRow("a", "7"), goneRow("a"), bornRow("a", "8")}, []string{"a"}, nil},
+		{"last of two incarnations in one answer is used", []product.Record{bornRow("a", "7"), removedRow("a"), bornRow("a", "8")}, []string{"a"}, nil},
 		{"two rows with the same address are both present", []product.Record{bornRow("a", "7"), bornRow("b", "7")}, []string{"a", "b"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 func TestUpstreamChangesKeepVersions(t *testing.T) {
 	f := newRowsFixture()
 	f.decode = decodeBorn
-	records, _, goneRecords := f.changes([]product.Record{bornRow("a", "5"), {Name: "b", Version: 8, Gone: true}}, false)
+	records, _, goneRecords := f.changes([]product.Record{bornRow("a", "5"), {Name: "b", Version: 8, Removed: true}}, false)
 	if len(records) != 1 || records[0].Version != 7 || records[0].Born != 5 {
 		t.Errorf("records %+v, want version 7 and Born 5", records)
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		return fmt.Errorf("lease %s: %w", l.key.Name, err)
 	}
-	err = l.table.Commit(ctx, platform.Write{Row: platform.Row{Key: l.key, Revision: previous.Revision + 1, Value: b}, Was: previous.Value})
+	err = l.table.Commit(ctx, platform.Write{Row: platform.Row{Key: l.key, Revision: previous.Revision + 1, Value: b}, Expected: previous.Value})
 	if err != nil {
 		return fmt.Errorf("lease %s: %w", l.key.Name, err)
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -36,7 +36,7 @@
 			switch {
 			case f.unavailable:
 				return platform.ErrUnknownOutcome
-			case w.Revision != f.row.Revision+1 || writes[0].Was != nil && !bytes.Equal(writes[0].Was, f.row.Value):
+			case w.Revision != f.row.Revision+1 || writes[0].Expected != nil && !bytes.Equal(writes[0].Expected, f.row.Value):
 				return platform.ErrConflict
 			}
 			f.row = w
--- a/internal/platform/count.go
+++ b/internal/platform/count.go
@@ -6,9 +6,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Count wraps the function fields of the platform's clients to count their calls by kind and result in
+// CountCalls wraps the function fields of the platform's clients to count their calls by kind and result in
 // the metrics of reg.
-func Count(t *Table, o *Objects, v *VMs, reg prometheus.Registerer) {
+func CountCalls(t *Table, o *Objects, v *VMs, reg prometheus.Registerer) {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "sparshore_platform_calls_total", Help: "Calls to the platform's services.",
 	}, []string{"call", "result"})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -80,10 +80,10 @@
 		want error
 	}{
 		{"a new row", row("a", 1, "x"), nil},
-		{"another value", platform.Write{Row: row("a", 2, "z").Row, Was: []byte("y")}, platform.ErrConflict},
-		{"the same value", platform.Write{Row: row("a", 2, "z").Row, Was: []byte("x")}, nil},
+		{"another value", platform.Write{Row: row("a", 2, "z").Row, Expected: []byte("y")}, platform.ErrConflict},
+		{"the same value", platform.Write{Row: row("a", 2, "z").Row, Expected: []byte("x")}, nil},
 		{"no expected value", row("a", 3, "w"), nil},
-		{"another revision", platform.Write{Row: row("a", 3, "v").Row, Was: []byte("w")}, platform.ErrConflict},
+		{"another revision", platform.Write{Row: row("a", 3, "v").Row, Expected: []byte("w")}, platform.ErrConflict},
 	} {
 		if err := f.table.Commit(t.Context(), tc.w); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -22,8 +22,8 @@
 	Name    string
 	Version int64
 	Value   []byte
-	// Gone marks a row that has been removed.
-	Gone bool
+	// Removed marks a row that has been removed.
+	Removed bool
 }
 
 // Snapshot is the store's response to a read of a table or of its changes.
@@ -41,9 +41,9 @@
 	// may be older than the ones read before and some may be missing. Writers may write the older
 	// and the missing ones again.
 	Restored bool
-	// Made is a monotonic time of this process at which the response was still up to date, or
+	// AsOf is a monotonic time of this process at which the response was still up to date, or
 	// earlier; the zero time if none is known.
-	Made time.Time
+	AsOf time.Time
 }
 
 // Store is a client of a store whose tables share one version counter and can be followed.
--- a/internal/platform/table.go
+++ b/internal/platform/table.go
@@ -41,11 +41,11 @@
 }
 
 // Write is a conditional write. Row.Revision is the revision after the write, so the stored row must
-// have the revision before it. If Was is set, the stored row must also have that value, as a table
+// have the revision before it. If Expected is set, the stored row must also have that value, as a table
 // that was restored from a backup assigns revisions again.
 type Write struct {
-	Row Row
-	Was []byte
+	Row      Row
+	Expected []byte
 }
 
 // Table is a client of the transactional table service.
@@ -162,9 +162,9 @@
 	}
 	p.ConditionExpression = aws.String(attrRevision + " = :r")
 	p.ExpressionAttributeValues = map[string]types.AttributeValue{":r": numberValue(r.Revision - 1)}
-	if w.Was != nil {
+	if w.Expected != nil {
 		p.ConditionExpression = aws.String(attrRevision + " = :r AND " + attrValue + " = :v")
-		p.ExpressionAttributeValues[":v"] = &types.AttributeValueMemberB{Value: w.Was}
+		p.ExpressionAttributeValues[":v"] = &types.AttributeValueMemberB{Value: w.Expected}
 	}
 	return p
 }
--- a/internal/relay/epochs_test.go
+++ b/internal/relay/epochs_test.go
@@ -39,7 +39,7 @@
 		clear(m.known)
 	}
 	for _, r := range s.Records {
-		if r.Gone {
+		if r.Removed {
 			delete(m.known, r.Name)
 			continue
 		}
@@ -132,7 +132,7 @@
 	var out []Peer
 	for _, m := range f.list {
 		if m != own {
-			out = append(out, Peer{Name: m.name, Zone: "z", Address: m.addr, Confirmed: m.log.made(table), StoreLost: m.source.StoreLost()})
+			out = append(out, Peer{Name: m.name, Zone: "z", Address: m.addr, Confirmed: m.log.asOf(table), StoreLost: m.source.StoreLost()})
 		}
 	}
 	return out
@@ -213,7 +213,7 @@
 // until the store is restored from a copy, and rejected after that.
 func TestEpochsWithEarlierRelease(t *testing.T) {
 	snap := func(epoch, version int64) platform.Snapshot {
-		return platform.Snapshot{Epoch: epoch, Version: version, Made: time.Now(), Records: []platform.Record{{Name: "a", Version: version}}}
+		return platform.Snapshot{Epoch: epoch, Version: version, AsOf: time.Now(), Records: []platform.Record{{Name: "a", Version: version}}}
 	}
 	l := NewLog(time.Now)
 	l.apply(table, snap(1, 38), true)
@@ -251,13 +251,13 @@
 // A long poll ends when the store was restored, so that the peer reads the whole table at once.
 func TestNewEpochEndsLongPoll(t *testing.T) {
 	l := NewLog(time.Now)
-	l.apply(table, platform.Snapshot{Epoch: 1, Version: 39, Made: time.Now()}, true)
+	l.apply(table, platform.Snapshot{Epoch: 1, Version: 39, AsOf: time.Now()}, true)
 	params, err := json.Marshal(changesParams{Table: table, After: 39, Epoch: 1, WaitMS: 10_000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.AfterFunc(30*time.Millisecond, func() {
-		l.apply(table, platform.Snapshot{Epoch: 2, Version: 36, Made: time.Now()}, true)
+		l.apply(table, platform.Snapshot{Epoch: 2, Version: 36, AsOf: time.Now()}, true)
 	})
 	begun := time.Now()
 	got, err := l.handleChanges(t.Context(), nil, params)
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -31,7 +31,7 @@
 	// restored from a backup copy, which begins a new epoch. See platform.Snapshot.
 	epoch    int64
 	restored bool
-	made     time.Time
+	asOf     time.Time
 	failing  bool
 	signals  tableSignals
 	// cachedChanges is the latest encoded reply with the changes after version cachedAfter. A
@@ -83,8 +83,8 @@
 		return
 	}
 	t.failing = false
-	if s.Made.After(t.made) {
-		t.made = s.Made
+	if s.AsOf.After(t.asOf) {
+		t.asOf = s.AsOf
 		t.signals.confirmed = closeAndReplace(t.signals.confirmed)
 	}
 	if full {
@@ -176,8 +176,8 @@
 		listed[r.Name] = true
 	}
 	for name, e := range t.rows {
-		if !listed[name] && !e.record.Gone {
-			t.rows[name] = l.track(platform.Record{Name: name, Version: s.Version, Gone: true})
+		if !listed[name] && !e.record.Removed {
+			t.rows[name] = l.track(platform.Record{Name: name, Version: s.Version, Removed: true})
 		}
 	}
 	if t.floor < 0 {
@@ -187,7 +187,7 @@
 
 func (l *Log) track(r platform.Record) trackedRow {
 	e := trackedRow{record: r}
-	if r.Gone {
+	if r.Removed {
 		e.removedAt = l.now()
 	}
 	return e
@@ -197,19 +197,19 @@
 // versions has to read the whole table.
 func (l *Log) pruneTombstones(t *tableLog) {
 	for name, e := range t.rows {
-		if e.record.Gone && l.now().Sub(e.removedAt) > tombstoneTTL {
+		if e.record.Removed && l.now().Sub(e.removedAt) > tombstoneTTL {
 			t.floor = max(t.floor, e.record.Version)
 			delete(t.rows, name)
 		}
 	}
 }
 
-// made returns the time at which the newest answer for the table was made, or the zero time if
-// there is none.
-func (l *Log) made(table string) time.Time {
+// asOf returns the time at which the newest answer for the table was still up to date, or the zero
+// time if there is none.
+func (l *Log) asOf(table string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.table(table).made
+	return l.table(table).asOf
 }
 
 // markFailed records that the latest call for the table failed.
@@ -230,7 +230,7 @@
 	switch {
 	case !t.versionsComparable(epoch):
 		// On seeing the new epoch, the peer reads the whole table.
-		return reply{version: t.version, epoch: t.epoch, made: t.made, immediate: true}, t.signals, nil
+		return reply{version: t.version, epoch: t.epoch, asOf: t.asOf, immediate: true}, t.signals, nil
 	case epoch == 0 && t.restored:
 		return reply{}, tableSignals{}, errNotAnswerable
 	}
@@ -246,7 +246,7 @@
 		t.cachedAfter = after
 	}
 	a := t.cachedChanges
-	a.version, a.epoch, a.made = t.version, t.epoch, t.made
+	a.version, a.epoch, a.asOf = t.version, t.epoch, t.asOf
 	return a, t.signals, nil
 }
 
@@ -266,7 +266,7 @@
 		}
 	}
 	a := t.cachedTable
-	a.version, a.epoch, a.made = t.version, t.epoch, t.made
+	a.version, a.epoch, a.asOf = t.version, t.epoch, t.asOf
 	return a, t.signals, nil
 }
 
@@ -278,7 +278,7 @@
 		return platform.Snapshot{}, false
 	}
 	if after >= t.version {
-		return platform.Snapshot{Version: t.version, Made: t.made}, true
+		return platform.Snapshot{Version: t.version, AsOf: t.asOf}, true
 	}
 	return l.snapshot(t, after), true
 }
@@ -286,12 +286,12 @@
 // liveSnapshot returns the whole table without tombstones. The caller must hold l.mu.
 func (l *Log) liveSnapshot(t *tableLog) platform.Snapshot {
 	s := l.snapshot(t, -1)
-	s.Records = slices.DeleteFunc(s.Records, func(r platform.Record) bool { return r.Gone })
+	s.Records = slices.DeleteFunc(s.Records, func(r platform.Record) bool { return r.Removed })
 	return s
 }
 
 func (l *Log) snapshot(t *tableLog, after int64) platform.Snapshot {
-	s := platform.Snapshot{Version: t.version, Made: t.made}
+	s := platform.Snapshot{Version: t.version, AsOf: t.asOf}
 	for _, e := range t.rows {
 		if e.record.Version > after {
 			s.Records = append(s.Records, e.record)
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -31,7 +31,7 @@
 func encodeRecords(rows []platform.Record) ([]byte, error) {
 	list := make([]wireRecord, len(rows))
 	for i, r := range rows {
-		list[i] = wireRecord{Name: r.Name, Version: r.Version, Value: r.Value, Gone: r.Gone}
+		list[i] = wireRecord{Name: r.Name, Version: r.Version, Value: r.Value, Gone: r.Removed}
 	}
 	b, err := cbor.Marshal(list)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	out := make([]platform.Record, len(list))
 	for i, r := range list {
-		out[i] = platform.Record{Name: r.Name, Version: r.Version, Value: r.Value, Gone: r.Gone}
+		out[i] = platform.Record{Name: r.Name, Version: r.Version, Value: r.Value, Removed: r.Gone}
 	}
 	return out, nil
 }
--- a/internal/relay/records_test.go
+++ b/internal/relay/records_test.go
@@ -19,7 +19,7 @@
 		rows []platform.Record
 	}{
 		{"one row", []platform.Record{{Name: "a", Version: 7, Value: []byte("text \x00\xff")}}},
-		{"removed row", []platform.Record{{Name: "a", Version: 8, Gone: true}}},
+		{"removed row", []platform.Record{{Name: "a", Version: 8, Removed: true}}},
 		{"a large table", []platform.Record{{Name: "config", Version: 1 << 40, Value: largeTable(2000)}, {Name: "b", Version: 2, Value: []byte{}}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -38,7 +38,7 @@
 			return platform.Snapshot{}, f.err
 		}
 		s := f.snap
-		s.Made = time.Now()
+		s.AsOf = time.Now()
 		return s, nil
 	}
 	return &platform.Store{
@@ -146,9 +146,9 @@
 		}
 		got <- s
 	}()
-	d.entries[0].log.apply(table, platform.Snapshot{Version: 8, Made: time.Now(), Records: []platform.Record{{Name: "a", Version: 8, Gone: true}}}, false)
+	d.entries[0].log.apply(table, platform.Snapshot{Version: 8, AsOf: time.Now(), Records: []platform.Record{{Name: "a", Version: 8, Removed: true}}}, false)
 	s := <-got
-	if len(s.Records) != 1 || !s.Records[0].Gone || s.Version != 8 {
+	if len(s.Records) != 1 || !s.Records[0].Removed || s.Version != 8 {
 		t.Errorf("got %+v, want the removal", s)
 	}
 }
@@ -158,11 +158,11 @@
 	d.list()
 	made := time.Now().Add(-3 * time.Second)
 	d.entries[0].log.mu.Lock()
-	d.entries[0].log.table(table).made = made
+	d.entries[0].log.table(table).asOf = made
 	d.entries[0].log.mu.Unlock()
 	s, err := d.entries[1].changes(t)
-	if err != nil || s.Made.After(made) {
-		t.Errorf("age is understated by %s, %v", s.Made.Sub(made), err)
+	if err != nil || s.AsOf.After(made) {
+		t.Errorf("age is understated by %s, %v", s.AsOf.Sub(made), err)
 	}
 }
 
@@ -175,7 +175,7 @@
 		{"call of the delegate to the store failed", func(d *deployment) { d.entries[0].log.markFailed(table) }},
 		{"table of the delegate is stale", func(d *deployment) {
 			d.entries[0].log.mu.Lock()
-			d.entries[0].log.table(table).made = time.Now().Add(-time.Minute)
+			d.entries[0].log.table(table).asOf = time.Now().Add(-time.Minute)
 			d.entries[0].log.mu.Unlock()
 		}},
 		{"history of the delegate is too short", func(d *deployment) {
@@ -258,12 +258,12 @@
 	d.list()
 	made := time.Now().Add(-time.Hour)
 	d.entries[1].log.mu.Lock()
-	d.entries[1].log.table(table).made = made
+	d.entries[1].log.table(table).asOf = made
 	d.entries[1].log.mu.Unlock()
 	d.age = time.Hour
 	d.entries[0].store.down = true
 	s, err := d.entries[0].relayed.List(t.Context(), table)
-	if err != nil || len(s.Records) != 1 || s.Made.After(made) {
+	if err != nil || len(s.Records) != 1 || s.AsOf.After(made) {
 		t.Errorf("%+v, %v; want the old table with its age", s, err)
 	}
 }
@@ -277,7 +277,7 @@
 	}
 	d.list()
 	d.entries[0].log.mu.Lock()
-	d.entries[0].log.table(table).made = time.Now().Add(-time.Minute)
+	d.entries[0].log.table(table).asOf = time.Now().Add(-time.Minute)
 	d.entries[0].log.mu.Unlock()
 	for _, e := range d.entries[2:] {
 		if _, err := e.changes(t); err != nil || e.store.calls != 0 {
@@ -347,7 +347,7 @@
 	for _, e := range d.entries {
 		e.source.settings.Wait = 2 * time.Second
 		e.log.mu.Lock()
-		e.log.table(table).made = time.Now().Add(left - e.source.settings.MaxAge)
+		e.log.table(table).asOf = time.Now().Add(left - e.source.settings.MaxAge)
 		e.log.mu.Unlock()
 	}
 	start := time.Now()
@@ -375,7 +375,7 @@
 	l.apply(table, platform.Snapshot{Version: 3, Records: []platform.Record{{Name: "a", Version: 1}, {Name: "b", Version: 2}}}, true)
 	l.apply(table, platform.Snapshot{Version: 9, Records: []platform.Record{{Name: "b", Version: 2}}}, true)
 	s, ok := l.since(table, 3)
-	if !ok || len(s.Records) != 1 || s.Records[0].Name != "a" || !s.Records[0].Gone {
+	if !ok || len(s.Records) != 1 || s.Records[0].Name != "a" || !s.Records[0].Removed {
 		t.Errorf("since 3: %+v, %v; want the removal of a", s.Records, ok)
 	}
 	if whole := l.liveSnapshot(l.table(table)); len(whole.Records) != 1 {
@@ -387,7 +387,7 @@
 	at := time.Now()
 	l := NewLog(func() time.Time { return at })
 	l.apply(table, platform.Snapshot{Version: 1}, true)
-	l.apply(table, platform.Snapshot{Version: 5, Records: []platform.Record{{Name: "a", Version: 5, Gone: true}}}, false)
+	l.apply(table, platform.Snapshot{Version: 5, Records: []platform.Record{{Name: "a", Version: 5, Removed: true}}}, false)
 	at = at.Add(2 * tombstoneTTL)
 	l.apply(table, platform.Snapshot{Version: 6, Records: []platform.Record{{Name: "b", Version: 6}}}, false)
 	if _, ok := l.since(table, 4); ok {
@@ -406,15 +406,15 @@
 	for _, e := range d.entries {
 		e.source.settings.Wait = 400 * time.Millisecond
 	}
-	made := d.entries[0].log.table(table).made
+	made := d.entries[0].log.table(table).asOf
 	got, err := d.entries[1].changes(t)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Made.After(made) {
-		t.Errorf("age is understated by %s", got.Made.Sub(made))
+	if got.AsOf.After(made) {
+		t.Errorf("age is understated by %s", got.AsOf.Sub(made))
 	}
-	if early := made.Sub(got.Made); early > 100*time.Millisecond {
+	if early := made.Sub(got.AsOf); early > 100*time.Millisecond {
 		t.Errorf("age is overstated by %s, want a few milliseconds", early)
 	}
 }
@@ -430,13 +430,13 @@
 	}
 	confirmed := time.Now().Add(200 * time.Millisecond)
 	time.AfterFunc(time.Until(confirmed), func() {
-		d.entries[0].log.apply(table, platform.Snapshot{Version: 5, Made: confirmed}, false)
+		d.entries[0].log.apply(table, platform.Snapshot{Version: 5, AsOf: confirmed}, false)
 	})
 	got, err := d.entries[1].changes(t)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if early := confirmed.Sub(got.Made); early > 100*time.Millisecond {
+	if early := confirmed.Sub(got.AsOf); early > 100*time.Millisecond {
 		t.Errorf("answer is %s older than the confirmation during the long poll", early)
 	}
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -113,14 +113,14 @@
 	records []byte
 	version int64
 	epoch   int64
-	made    time.Time
+	asOf    time.Time
 	// immediate is set if the reply must be sent at once, even without records.
 	immediate bool
 }
 
 // newReply encodes a snapshot. The records of the reply are nil if the snapshot has none.
 func newReply(s platform.Snapshot) (reply, error) {
-	a := reply{version: s.Version, made: s.Made}
+	a := reply{version: s.Version, asOf: s.AsOf}
 	if len(s.Records) == 0 {
 		return a, nil
 	}
@@ -131,14 +131,14 @@
 
 func (l *Log) encode(a reply, receivedAt time.Time) wireSnapshot {
 	now := l.now()
-	return wireSnapshot{Records: a.records, Version: a.version, Epoch: a.epoch, AgeMS: now.Sub(a.made).Milliseconds() + 1, HeldMS: now.Sub(receivedAt).Milliseconds()}
+	return wireSnapshot{Records: a.records, Version: a.version, Epoch: a.epoch, AgeMS: now.Sub(a.asOf).Milliseconds() + 1, HeldMS: now.Sub(receivedAt).Milliseconds()}
 }
 
 // decode turns an answer into a Snapshot. The answer was made no earlier than sent plus the time
 // for which the call was held, so subtracting its age from that time never makes the snapshot look
 // newer than it is.
 func (w wireSnapshot) decode(sent time.Time) (platform.Snapshot, error) {
-	s := platform.Snapshot{Version: w.Version, Epoch: w.Epoch, Made: sent.Add(time.Duration(w.HeldMS-w.AgeMS) * time.Millisecond)}
+	s := platform.Snapshot{Version: w.Version, Epoch: w.Epoch, AsOf: sent.Add(time.Duration(w.HeldMS-w.AgeMS) * time.Millisecond)}
 	if len(w.Records) == 0 {
 		return s, nil
 	}
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -248,7 +248,7 @@
 // time until the copy here reaches the age MaxAge, because a delegate that has just lost the store
 // would hold the poll for longer.
 func (s *Store) longPollWait(table string) time.Duration {
-	made := s.log.made(table)
+	made := s.log.asOf(table)
 	if made.IsZero() {
 		return s.settings.Wait
 	}
@@ -303,7 +303,7 @@
 // epoch, is not asked again for a while.
 func (s *Store) ask(ctx context.Context, p Peer, method, table string, params any, oldest time.Duration) (platform.Snapshot, error) {
 	snap, err := s.call(ctx, p, method, params)
-	if age := s.now().Sub(snap.Made); err == nil && age > oldest {
+	if age := s.now().Sub(snap.AsOf); err == nil && age > oldest {
 		err = fmt.Errorf("%w: table of %s is %s old", ErrStale, p.Name, age.Round(time.Millisecond))
 	}
 	if err == nil && !s.log.acceptsEpoch(table, snap.Epoch) {
--- a/internal/relay/zones_test.go
+++ b/internal/relay/zones_test.go
@@ -147,11 +147,11 @@
 	}()
 	time.Sleep(20 * time.Millisecond)
 	made := time.Now()
-	d.entries[0].log.apply(table, platform.Snapshot{Version: 5, Made: made}, false)
+	d.entries[0].log.apply(table, platform.Snapshot{Version: 5, AsOf: made}, false)
 	select {
 	case s := <-got:
-		if made.Sub(s.Made) > 10*time.Millisecond {
-			t.Errorf("the answer is %s older than the confirmation", made.Sub(s.Made))
+		if made.Sub(s.AsOf) > 10*time.Millisecond {
+			t.Errorf("the answer is %s older than the confirmation", made.Sub(s.AsOf))
 		}
 	case <-time.After(time.Second):
 		t.Error("the long poll goes on although the table was confirmed")
--- a/internal/rollout/coordinator.go
+++ b/internal/rollout/coordinator.go
@@ -251,7 +251,7 @@
 	if err != nil {
 		return platform.Write{}, fmt.Errorf("head row: %w", err)
 	}
-	return platform.Write{Row: platform.Row{Key: headKey, Revision: before.Revision + 1, Value: value}, Was: before.Value}, nil
+	return platform.Write{Row: platform.Row{Key: headKey, Revision: before.Revision + 1, Value: value}, Expected: before.Value}, nil
 }
 
 // stageEverywhere stages the change at every process on the VM list and returns the reasons against the change;
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -56,7 +56,7 @@
 	}
 	for _, w := range writes {
 		before := f.rows[w.Row.Key]
-		if before.Revision != w.Row.Revision-1 || w.Was != nil && !bytes.Equal(before.Value, w.Was) {
+		if before.Revision != w.Row.Revision-1 || w.Expected != nil && !bytes.Equal(before.Value, w.Expected) {
 			return platform.ErrConflict
 		}
 	}
--- a/internal/standin/rows.go
+++ b/internal/standin/rows.go
@@ -57,7 +57,7 @@
 func (r *RecordStore) Remove(table string, names ...string) int64 {
 	list := make([]platform.Record, 0, len(names))
 	for _, n := range names {
-		list = append(list, platform.Record{Name: n, Gone: true})
+		list = append(list, platform.Record{Name: n, Removed: true})
 	}
 	return r.write(table, list...)
 }
@@ -108,7 +108,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.snapshot(table, -1)
-	s.Records = slices.DeleteFunc(s.Records, func(record platform.Record) bool { return record.Gone })
+	s.Records = slices.DeleteFunc(s.Records, func(record platform.Record) bool { return record.Removed })
 	return s, nil
 }
 
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -328,7 +328,7 @@
 mutant head-version $store 's/p\.Version != 0 && p\.Version <= inForce/false/' internal/rollout TestRestoreWith
 mutant head-change $store 's/otherChange := [^\n]*/otherChange := false/' internal/rollout TestRestoreWith
 mutant head-content internal/rollout/restore.go 's/return c\.putObject\(ctx, cfg\.Hash\(\), cfg\.Canonical\(\)\)/return nil/' internal/rollout TestAcceptedMark
-mutant head-value internal/rollout/coordinator.go 's/, Was: before\.Value\}, nil/}, nil/' internal/rollout TestReusedRevision
+mutant head-value internal/rollout/coordinator.go 's/, Expected: before\.Value\}, nil/}, nil/' internal/rollout TestReusedRevision
 mutant lease-known internal/lease/lease.go 's/if stored\.Fence >= l\.fence \{/if true {/' internal/lease TestHolderAfter
 mutant lease-first internal/lease/lease.go 's/l\.first = previousRevision == 0 && l\.fence == 0/l.first = previousRevision == 0/' internal/lease TestLapsedHolder
 mutant lease-lapsed internal/lease/lease.go 's/if now\.Before\(l\.until\) \{/if true {/' internal/lease TestLapsedHolder
