--- a/internal/daemon/upstreamrows.go
+++ b/internal/daemon/upstreamrows.go
@@ -50,7 +50,7 @@
 		if lastIndex[row.Name] != i {
 			continue
 		}
-		if row.Gone {
+		if row.Removed {
 			u.bad.remove(row.Name)
 			removals = append(removals, fleet.Removal{Name: row.Name, Version: row.Version})
 			continue
--- a/internal/daemon/upstreamrows_test.go
+++ b/internal/daemon/upstreamrows_test.go
@@ -34,7 +34,7 @@
 
 func invalidRow(name string) product.Record { return product.Record{Name: name, Value: []byte("{")} }
 
-func removedRow(name string) product.Record { return product.Record{Name: name, Gone: true} }
+func removedRow(name string) product.Record { return product.Record{Name: name, Removed: true} }
 
 // rowsFixture is an upstreamRows with a fleet that records which upstreams left.
 type rowsFixture struct {
@@ -187,7 +187,7 @@
 func TestUpstreamChangesKeepVersions(t *testing.T) {
 	f := newRowsFixture()
 	f.decode = decodeBorn
-	records, _, removals := f.changes([]product.Record{bornRow("a", "5"), {Name: "b", Version: 8, Gone: true}}, false)
+	records, _, removals := f.changes([]product.Record{bornRow("a", "5"), {Name: "b", Version: 8, Removed: true}}, false)
 	if len(records) != 1 || records[0].Version != 7 || records[0].Born != 5 {
 		t.Errorf("records %+v, want version 7 and Born 5", records)
 	}
