--- a/internal/standin/port.go
+++ b/internal/standin/port.go
@@ -17,8 +17,8 @@
 const (
 	firstLockPort = 14_900
 	firstPort     = 15_000
-	portRanges    = 16
-	portCount     = 1_000
+	portRanges    = 30
+	portCount     = 500
 )
 
 // portRange is a range of ports that one process has claimed.
