--- a/internal/standin/port.go
+++ b/internal/standin/port.go
@@ -7,6 +7,7 @@
 	"os"
 	"sync"
 	"sync/atomic"
+	"syscall"
 )
 
 // Test processes listen on ports below the range that the kernel assigns to outgoing connections, so that
@@ -54,6 +55,10 @@
 	if err != nil {
 		return "", err
 	}
+	// A process that is forked while a probe listens inherits its socket until exec, and the port stays in
+	// use for that time.
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
 	for range portCount {
 		addr := fmt.Sprintf("127.0.0.1:%d", ports.first+nextPort.Add(1)%portCount)
 		l, err := net.Listen("tcp", addr)
